--- a/decide/ramp_test.go
+++ b/decide/ramp_test.go
@@ -39,7 +39,6 @@
 	down  bool
 	got   []time.Duration // arrivals since its start
 	knew  []bool          // whether the sender had been told
-	total int
 }
 
 type fleetRequest struct {
--- a/internal/discovery/chain_test.go
+++ b/internal/discovery/chain_test.go
@@ -53,7 +53,6 @@
 	moveAt  time.Duration // when it takes up the service to
 	to      *service
 	due     time.Duration
-	place   int
 }
 
 func newVirtual(s decide.Settings, service *service, seed int64, start time.Duration) *virtual {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -60,7 +60,8 @@
 
 func TestIDs(t *testing.T) {
 	var a, b ids
-	if a.of("s-1") != a.of("s-1") || a.of("s-1") == a.of("s-2") {
+	first := a.of("s-1")
+	if again := a.of("s-1"); again != first || a.of("s-2") == first {
 		t.Error("one name has two numbers, or two names one")
 	}
 	if b.of("s-2") != a.of("s-2") {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -91,8 +91,9 @@
 				follow(decide.ListChanges, entry("draining", 0))
 			}
 			if c.moved {
-				cfg, watched := n.cfg, make(chan bool)
-				cfg.Discovery, watched, _ = listServer(t, 3, whole...)
+				address, watched, _ := listServer(t, 3, whole...)
+				cfg := n.cfg
+				cfg.Discovery = address
 				n.Reload(cfg)
 				wait(t, watched, "the watch there") // the list is known before it begins
 			} else {
