--- a/decide/api.go
+++ b/balancer/api.go
@@ -1,10 +1,10 @@
-// Package decide makes the decisions of a load-balancing proxy node: which
+// Package balancer makes the decisions of a load-balancing proxy node: which
 // server gets a request, when another attempt is made, when a request is
 // refused. It does no I/O, reads no clock and starts no goroutine: the caller
 // feeds it events and carries out the actions it returns.
 //
 // This file is the interface; all decisions are in decide.go.
-package decide
+package balancer
 
 import "time"
 
--- a/decide/ask.go
+++ b/balancer/ask.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // When the list of servers is asked for, where changes do not come by themselves.
 
--- a/decide/behaviour_test.go
+++ b/balancer/behaviour_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package balancer_test
 
 import (
 	"fmt"
@@ -6,94 +6,96 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 // rig feeds one module with a fleet of servers whose delays the test sets.
 type rig struct {
 	t        *testing.T
-	m        *decide.Module
+	m        *balancer.Module
 	now      time.Duration
-	delay    func(s decide.ServerID) (time.Duration, decide.OutcomeCode)
+	delay    func(s balancer.ServerID) (time.Duration, balancer.OutcomeCode)
 	due      []rigEvent
-	sent     map[decide.ServerID]int
-	last     map[decide.RequestID]decide.Action
-	legs     map[decide.RequestID]int
-	over     map[decide.RequestID]bool
+	sent     map[balancer.ServerID]int
+	last     map[balancer.RequestID]balancer.Action
+	legs     map[balancer.RequestID]int
+	over     map[balancer.RequestID]bool
 	retries  int           // of a refused client, after its hold-off
 	patience time.Duration // of a first try
-	work     func(decide.RequestID) time.Duration
+	work     func(balancer.RequestID) time.Duration
 	waits    []time.Duration // that refused clients were told
 	inTime   map[string]int
-	came     map[decide.RequestID]time.Duration
+	came     map[balancer.RequestID]time.Duration
 	refused, failed,
 	asks, next, accused int
 }
 
 type rigEvent struct {
 	at time.Duration
-	e  decide.Event
+	e  balancer.Event
 }
 
-func rigSettings() decide.Settings {
-	return decide.Settings{Nodes: 1, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, AskWithin: 10 * time.Second,
+func rigSettings() balancer.Settings {
+	return balancer.Settings{Nodes: 1, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, AskWithin: 10 * time.Second,
 		ConnectTimeout: 100 * time.Millisecond, ColdFrom: 0.3, ColdTime: 8 * time.Second, OverloadFactor: 2.5,
 		OverloadTime: time.Second, HoldOffs: true, MaxHoldOff: time.Second,
-		Classes: []decide.Class{
-			{Name: "dear", Worth: 12, Aim: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond, Effect: decide.Safe},
-			{Name: "cheap", Worth: 1, Aim: 1500 * time.Millisecond, Deadline: 4 * time.Second, Effect: decide.Safe},
-			{Name: "once", Worth: 1, Aim: 1500 * time.Millisecond, Deadline: 2 * time.Second, Effect: decide.Unsafe}}}
+		Classes: []balancer.Class{
+			{Name: "dear", Worth: 12, Aim: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond, Effect: balancer.Safe},
+			{Name: "cheap", Worth: 1, Aim: 1500 * time.Millisecond, Deadline: 4 * time.Second, Effect: balancer.Safe},
+			{Name: "once", Worth: 1, Aim: 1500 * time.Millisecond, Deadline: 2 * time.Second, Effect: balancer.Unsafe}}}
 }
 
-func newRig(t *testing.T, s decide.Settings, servers int) *rig {
-	r := &rig{t: t, m: decide.New(s, 5), now: time.Hour, sent: map[decide.ServerID]int{}, over: map[decide.RequestID]bool{},
-		last: map[decide.RequestID]decide.Action{}, legs: map[decide.RequestID]int{}, patience: 2 * time.Second,
-		inTime: map[string]int{}, came: map[decide.RequestID]time.Duration{}}
-	r.work = func(decide.RequestID) time.Duration { return 0 }
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return 50 * time.Millisecond, decide.OK }
-	var list []decide.Server
+func newRig(t *testing.T, s balancer.Settings, servers int) *rig {
+	r := &rig{t: t, m: balancer.New(s, 5), now: time.Hour, sent: map[balancer.ServerID]int{}, over: map[balancer.RequestID]bool{},
+		last: map[balancer.RequestID]balancer.Action{}, legs: map[balancer.RequestID]int{}, patience: 2 * time.Second,
+		inTime: map[string]int{}, came: map[balancer.RequestID]time.Duration{}}
+	r.work = func(balancer.RequestID) time.Duration { return 0 }
+	r.delay = func(balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
+		return 50 * time.Millisecond, balancer.OK
+	}
+	var list []balancer.Server
 	for i := range servers {
-		list = append(list, decide.Server{ID: decide.ServerID(i + 1), Zone: "z"})
+		list = append(list, balancer.Server{ID: balancer.ServerID(i + 1), Zone: "z"})
 	}
-	r.feed(decide.ListUpdate{Kind: decide.ListCached, Entries: list})
+	r.feed(balancer.ListUpdate{Kind: balancer.ListCached, Entries: list})
 	return r
 }
 
-func (r *rig) feed(e decide.Event) {
+func (r *rig) feed(e balancer.Event) {
 	for _, a := range r.m.Handle(r.now, e) {
 		switch a := a.(type) {
-		case decide.Send:
+		case balancer.Send:
 			r.sent[a.Server]++
 			leg := r.legs[a.ID]
 			r.legs[a.ID]++
 			d, code := r.delay(a.Server)
 			d += r.work(a.ID)
 			if d > a.Timeout {
-				d, code = a.Timeout, decide.TimedOut
+				d, code = a.Timeout, balancer.TimedOut
 			}
-			r.due = append(r.due, rigEvent{r.now + d, decide.AttemptEnded{ID: a.ID, Attempt: leg, Server: a.Server, Code: code, Elapsed: d}})
-		case decide.CancelAttempt:
-			r.due = append(r.due, rigEvent{r.now + time.Millisecond, decide.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: decide.Cancelled}})
-		case decide.Refuse:
+			r.due = append(r.due, rigEvent{r.now + d, balancer.AttemptEnded{ID: a.ID, Attempt: leg, Server: a.Server, Code: code, Elapsed: d}})
+		case balancer.CancelAttempt:
+			r.due = append(r.due, rigEvent{r.now + time.Millisecond, balancer.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: balancer.Cancelled}})
+		case balancer.Refuse:
 			r.refused++
 			r.over[a.ID], r.last[a.ID] = true, a
 			r.waits = append(r.waits, a.HoldOff)
 			class, try, _ := strings.Cut(string(a.ID), "/")
-			if left := r.patience - (r.now + a.HoldOff - r.came[decide.RequestID(class)]); len(try) < r.retries && left > 0 {
-				id := decide.RequestID(class + "/" + try + "x")
-				r.due = append(r.due, rigEvent{r.now + a.HoldOff, decide.RequestArrived{ID: id, Class: strings.TrimRight(class,
+			if left := r.patience - (r.now + a.HoldOff - r.came[balancer.RequestID(class)]); len(try) < r.retries && left > 0 {
+				id := balancer.RequestID(class + "/" + try + "x")
+				r.due = append(r.due, rigEvent{r.now + a.HoldOff, balancer.RequestArrived{ID: id, Class: strings.TrimRight(class,
 					"0123456789"), Patience: left}})
 			}
-		case decide.Fail:
+		case balancer.Fail:
 			r.failed++
 			r.over[a.ID], r.last[a.ID] = true, a
-		case decide.SetTimer:
-			r.due = append(r.due, rigEvent{r.now + a.After, decide.TimerFired{Token: a.Token}})
-		case decide.Log:
+		case balancer.SetTimer:
+			r.due = append(r.due, rigEvent{r.now + a.After, balancer.TimerFired{Token: a.Token}})
+		case balancer.Log:
 			r.accused++
-		case decide.Subscribe:
+		case balancer.Subscribe:
 			r.asks++
-			r.due = append(r.due, rigEvent{r.now + time.Second, decide.ListUpdate{Kind: decide.ListFailed}})
+			r.due = append(r.due, rigEvent{r.now + time.Second, balancer.ListUpdate{Kind: balancer.ListFailed}})
 		}
 	}
 }
@@ -112,10 +114,10 @@
 		}
 		r.due = rest
 		for _, d := range now {
-			if e, ok := d.e.(decide.AttemptEnded); ok {
-				e.Over = r.over[e.ID] || e.Code == decide.OK
+			if e, ok := d.e.(balancer.AttemptEnded); ok {
+				e.Over = r.over[e.ID] || e.Code == balancer.OK
 				first, _, _ := strings.Cut(string(e.ID), "/")
-				if e.Code == decide.OK && !r.over[e.ID] && r.now-r.came[decide.RequestID(first)] < 600*time.Millisecond {
+				if e.Code == balancer.OK && !r.over[e.ID] && r.now-r.came[balancer.RequestID(first)] < 600*time.Millisecond {
 					r.inTime[strings.TrimRight(first, "0123456789")]++
 				}
 				r.over[e.ID] = e.Over
@@ -125,14 +127,14 @@
 		}
 		for arrived += rate * 0.005; arrived >= 1; arrived-- {
 			r.next++
-			id := decide.RequestID(fmt.Sprint(class, r.next))
+			id := balancer.RequestID(fmt.Sprint(class, r.next))
 			r.came[id] = r.now
-			r.feed(decide.RequestArrived{ID: id, Class: class, Patience: r.patience})
+			r.feed(balancer.RequestArrived{ID: id, Class: class, Patience: r.patience})
 		}
 	}
 }
 
-func (r *rig) reset() { r.sent, r.refused, r.failed = map[decide.ServerID]int{}, 0, 0 }
+func (r *rig) reset() { r.sent, r.refused, r.failed = map[balancer.ServerID]int{}, 0, 0 }
 
 // A silent server is left out and its requests are answered elsewhere, also while the list is down; it then comes
 // back paced, as it may be cold.
@@ -142,9 +144,9 @@
 	r := newRig(t, s, 5)
 	r.run(5*time.Second, 100, "cheap")
 	quick := r.delay
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 		if id == 3 {
-			return time.Hour, decide.TimedOut
+			return time.Hour, balancer.TimedOut
 		}
 		return quick(id)
 	}
@@ -171,7 +173,7 @@
 // An unsafe request at a silent server is failed at its deadline, never repeated and never refused.
 func TestUnsafeTimeOutFails(t *testing.T) {
 	r := newRig(t, rigSettings(), 3)
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return time.Hour, decide.TimedOut }
+	r.delay = func(balancer.ServerID) (time.Duration, balancer.OutcomeCode) { return time.Hour, balancer.TimedOut }
 	r.run(5*time.Millisecond, 200, "once")
 	r.run(3*time.Second, 0, "once")
 	if n := r.sent[1] + r.sent[2] + r.sent[3]; n != 1 || r.failed != 1 || r.refused != 0 {
@@ -183,21 +185,21 @@
 func TestFurtherAttemptsByEffect(t *testing.T) {
 	for _, c := range []struct {
 		class string
-		code  decide.OutcomeCode
+		code  balancer.OutcomeCode
 		again bool
-	}{{"cheap", decide.ServerError, true}, {"cheap", decide.ConnectFailed, true}, {"once", decide.ServerError, false},
-		{"once", decide.Reset, false}, {"once", decide.ConnectFailed, true}, {"once", decide.Full, true}} {
+	}{{"cheap", balancer.ServerError, true}, {"cheap", balancer.ConnectFailed, true}, {"once", balancer.ServerError, false},
+		{"once", balancer.Reset, false}, {"once", balancer.ConnectFailed, true}, {"once", balancer.Full, true}} {
 		r := newRig(t, rigSettings(), 3)
 		r.run(3*time.Second, 100, "cheap")
 		r.run(time.Second, 0, "cheap")
 		r.reset()
 		first := true
-		r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) {
+		r.delay = func(balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 			if first {
 				first = false
 				return 10 * time.Millisecond, c.code
 			}
-			return 50 * time.Millisecond, decide.OK
+			return 50 * time.Millisecond, balancer.OK
 		}
 		r.run(5*time.Millisecond, 200, c.class)
 		r.run(time.Second, 0, c.class)
@@ -210,11 +212,11 @@
 // A server that fails fast must not attract work.
 func TestFastFailerAttractsNothing(t *testing.T) {
 	r := newRig(t, rigSettings(), 4)
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 		if id == 2 {
-			return time.Millisecond, decide.ServerError
+			return time.Millisecond, balancer.ServerError
 		}
-		return 50 * time.Millisecond, decide.OK
+		return 50 * time.Millisecond, balancer.OK
 	}
 	r.run(10*time.Second, 100, "cheap")
 	if r.sent[2] > 60 {
@@ -226,13 +228,15 @@
 func TestAllSlowAtOnceEjectsNobody(t *testing.T) {
 	r := newRig(t, rigSettings(), 4)
 	r.run(5*time.Second, 80, "cheap")
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return 150 * time.Millisecond, decide.OK }
+	r.delay = func(balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
+		return 150 * time.Millisecond, balancer.OK
+	}
 	r.reset()
 	r.run(5*time.Second, 80, "cheap")
 	if r.accused > 0 {
 		t.Errorf("%d servers were made suspects", r.accused)
 	}
-	for id := decide.ServerID(1); id <= 4; id++ {
+	for id := balancer.ServerID(1); id <= 4; id++ {
 		if r.sent[id] < 25 { // one in flight, as before, is 33 in 5 s
 			t.Errorf("server %d got %d only", id, r.sent[id])
 		}
@@ -255,17 +259,17 @@
 // Overload sheds the cheap class first, and a server list that is empty or drains wholly refuses at once.
 func TestOverloadShedsByWorth(t *testing.T) {
 	r := newRig(t, rigSettings(), 3)
-	busy := map[decide.ServerID]time.Duration{}
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
+	busy := map[balancer.ServerID]time.Duration{}
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) { // one request at a time, 20 ms each
 		busy[id] = max(busy[id], r.now) + 20*time.Millisecond
-		return busy[id] - r.now, decide.OK
+		return busy[id] - r.now, balancer.OK
 	}
 	refused := map[string]int{}
 	for range 400 {
 		for _, c := range []string{"dear", "cheap", "cheap", "cheap"} {
 			before := r.refused
 			r.next++
-			r.feed(decide.RequestArrived{ID: decide.RequestID(fmt.Sprint(r.next)), Class: c, Patience: time.Second})
+			r.feed(balancer.RequestArrived{ID: balancer.RequestID(fmt.Sprint(r.next)), Class: c, Patience: time.Second})
 			refused[c] += r.refused - before
 		}
 		r.run(15*time.Millisecond, 0, "")
@@ -276,26 +280,26 @@
 }
 
 func TestNoUsableServerOrOddSettings(t *testing.T) {
-	drained := []decide.Server{{ID: 1, State: decide.Draining}}
-	for _, list := range [][]decide.Server{nil, drained} {
-		for _, s := range []decide.Settings{{}, rigSettings()} {
+	drained := []balancer.Server{{ID: 1, State: balancer.Draining}}
+	for _, list := range [][]balancer.Server{nil, drained} {
+		for _, s := range []balancer.Settings{{}, rigSettings()} {
 			r := newRig(t, s, 0)
-			r.feed(decide.ListUpdate{Kind: decide.ListFull, Entries: list})
-			r.feed(decide.RequestArrived{ID: "a", Class: "unheard of", Patience: time.Second})
-			if _, ok := r.last["a"].(decide.Refuse); !ok || len(r.sent) != 0 {
+			r.feed(balancer.ListUpdate{Kind: balancer.ListFull, Entries: list})
+			r.feed(balancer.RequestArrived{ID: "a", Class: "unheard of", Patience: time.Second})
+			if _, ok := r.last["a"].(balancer.Refuse); !ok || len(r.sent) != 0 {
 				t.Errorf("%v: answer %v, sends %v", list, r.last["a"], r.sent)
 			}
 		}
 	}
-	r := newRig(t, decide.Settings{}, 2) // no classes at all
-	r.feed(decide.RequestArrived{ID: "a", Class: "x", Patience: 0})
-	if _, ok := r.last["a"].(decide.Refuse); !ok {
+	r := newRig(t, balancer.Settings{}, 2) // no classes at all
+	r.feed(balancer.RequestArrived{ID: "a", Class: "x", Patience: 0})
+	if _, ok := r.last["a"].(balancer.Refuse); !ok {
 		t.Error("zero patience was not refused")
 	}
-	r.feed(decide.RequestArrived{ID: "b", Class: "x", Patience: time.Second})
-	r.feed(decide.AttemptEnded{ID: "nobody", Attempt: 3, Server: 9, Code: decide.OK, Report: &decide.Report{}})
-	r.feed(decide.RequestAbandoned{ID: "nobody"})
-	r.feed(decide.TimerFired{Token: 99})
+	r.feed(balancer.RequestArrived{ID: "b", Class: "x", Patience: time.Second})
+	r.feed(balancer.AttemptEnded{ID: "nobody", Attempt: 3, Server: 9, Code: balancer.OK, Report: &balancer.Report{}})
+	r.feed(balancer.RequestAbandoned{ID: "nobody"})
+	r.feed(balancer.TimerFired{Token: 99})
 	r.run(2*time.Second, 50, "x")
 	if r.sent[1]+r.sent[2] == 0 {
 		t.Error("nothing was sent without classes")
@@ -305,7 +309,7 @@
 // A full answer blocks its server for the validity only.
 func TestFullAnswerLapses(t *testing.T) {
 	r := newRig(t, rigSettings(), 1)
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return time.Millisecond, decide.Full }
+	r.delay = func(balancer.ServerID) (time.Duration, balancer.OutcomeCode) { return time.Millisecond, balancer.Full }
 	r.run(5*time.Millisecond, 200, "cheap")
 	r.run(100*time.Millisecond, 0, "cheap")
 	r.reset()
@@ -327,11 +331,11 @@
 	s.Nodes = 2
 	r := newRig(t, s, 8)
 	r.run(10*time.Second, 60, "cheap")
-	lost := func(id decide.ServerID) bool { return id > 4 }
+	lost := func(id balancer.ServerID) bool { return id > 4 }
 	up := r.delay
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 		if lost(id) {
-			return time.Hour, decide.TimedOut
+			return time.Hour, balancer.TimedOut
 		}
 		return up(id)
 	}
@@ -349,12 +353,12 @@
 	if dead > 60 || alive < 300 || r.failed > 0 {
 		t.Errorf("zone lost: %d sends into it, %d to the rest, %d failed", dead, alive, r.failed)
 	}
-	var gone, back []decide.Server
-	for id := decide.ServerID(5); id <= 8; id++ {
-		gone = append(gone, decide.Server{ID: id, Zone: "z", State: decide.Gone})
-		back = append(back, decide.Server{ID: id, Zone: "z", StartedAt: r.now + 2*time.Second})
+	var gone, back []balancer.Server
+	for id := balancer.ServerID(5); id <= 8; id++ {
+		gone = append(gone, balancer.Server{ID: id, Zone: "z", State: balancer.Gone})
+		back = append(back, balancer.Server{ID: id, Zone: "z", StartedAt: r.now + 2*time.Second})
 	}
-	r.feed(decide.ListUpdate{Kind: decide.ListChanges, Entries: gone})
+	r.feed(balancer.ListUpdate{Kind: balancer.ListChanges, Entries: gone})
 	r.reset()
 	r.run(2*time.Second, 120, "cheap")
 	for id := range r.sent {
@@ -363,7 +367,7 @@
 		}
 	}
 	r.delay = up
-	r.feed(decide.ListUpdate{Kind: decide.ListChanges, Entries: back})
+	r.feed(balancer.ListUpdate{Kind: balancer.ListChanges, Entries: back})
 	r.reset()
 	r.run(time.Second, 120, "cheap")
 	for id, n := range r.sent {
@@ -391,7 +395,7 @@
 		}
 	}
 	mixed(10 * time.Second)
-	r.work = func(id decide.RequestID) time.Duration {
+	r.work = func(id balancer.RequestID) time.Duration {
 		if strings.HasPrefix(string(id), "once") {
 			return 500 * time.Millisecond
 		}
@@ -420,12 +424,12 @@
 func TestOverloadWithClientRetries(t *testing.T) {
 	r := newRig(t, rigSettings(), 4)
 	r.retries, r.patience = 2, 1200*time.Millisecond
-	free := map[decide.ServerID]time.Duration{}
+	free := map[balancer.ServerID]time.Duration{}
 	longest := time.Duration(0)
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) { // one request at a time, 20 ms each
 		free[id] = max(free[id], r.now) + 20*time.Millisecond
 		longest = max(longest, free[id]-r.now)
-		return free[id] - r.now, decide.OK
+		return free[id] - r.now, balancer.OK
 	}
 	mixed := func(length time.Duration, rate float64) int {
 		start := r.next
@@ -463,7 +467,7 @@
 		s.OverloadFactor = factor
 		r := newRig(t, s, 4)
 		r.run(10*time.Second, 100, "cheap")
-		r.feed(decide.ListUpdate{Kind: decide.ListChanges, Entries: []decide.Server{{ID: 2, Zone: "z", StartedAt: r.now}}})
+		r.feed(balancer.ListUpdate{Kind: balancer.ListChanges, Entries: []balancer.Server{{ID: 2, Zone: "z", StartedAt: r.now}}})
 		r.run(time.Second, 100, "cheap")
 		r.reset()
 		r.run(2*time.Second, 100, "cheap")
@@ -479,13 +483,13 @@
 	r := newRig(t, rigSettings(), 3)
 	r.run(3*time.Second, 100, "cheap")
 	n := 0
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 		if id == 1 {
 			if n++; n%3 != 0 {
-				return time.Millisecond, decide.Reset
+				return time.Millisecond, balancer.Reset
 			}
 		}
-		return 50 * time.Millisecond, decide.OK
+		return 50 * time.Millisecond, balancer.OK
 	}
 	r.accused = 0
 	r.run(60*time.Second, 100, "cheap")
@@ -495,23 +499,23 @@
 }
 
 func BenchmarkRequest(b *testing.B) {
-	m := decide.New(rigSettings(), 1)
-	var list []decide.Server
+	m := balancer.New(rigSettings(), 1)
+	var list []balancer.Server
 	for i := range 20 {
-		list = append(list, decide.Server{ID: decide.ServerID(i + 1)})
+		list = append(list, balancer.Server{ID: balancer.ServerID(i + 1)})
 	}
-	m.Handle(0, decide.ListUpdate{Kind: decide.ListCached, Entries: list})
+	m.Handle(0, balancer.ListUpdate{Kind: balancer.ListCached, Entries: list})
 	b.ReportAllocs()
 	for i := range b.N {
 		now := time.Duration(i) * time.Millisecond
-		id := decide.RequestID(fmt.Sprint(i))
-		for _, a := range m.Handle(now, decide.RequestArrived{ID: id, Class: "cheap", Patience: time.Second}) {
-			if s, ok := a.(decide.Send); ok {
-				m.Handle(now, decide.AttemptEnded{ID: id, Server: s.Server, Over: true, Elapsed: time.Millisecond})
+		id := balancer.RequestID(fmt.Sprint(i))
+		for _, a := range m.Handle(now, balancer.RequestArrived{ID: id, Class: "cheap", Patience: time.Second}) {
+			if s, ok := a.(balancer.Send); ok {
+				m.Handle(now, balancer.AttemptEnded{ID: id, Server: s.Server, Over: true, Elapsed: time.Millisecond})
 			}
 		}
 		if i%25 == 0 {
-			m.Handle(now, decide.TimerFired{Token: 0})
+			m.Handle(now, balancer.TimerFired{Token: 0})
 		}
 	}
 }
@@ -522,12 +526,12 @@
 	s := rigSettings()
 	s.Classes[1].Aim = 10 * time.Second // an aim far off: only the uncrowded latency bounds the queue
 	r := newRig(t, s, 4)
-	free := map[decide.ServerID]time.Duration{}
+	free := map[balancer.ServerID]time.Duration{}
 	var waits, answers time.Duration
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) { // one request at a time, 20 ms each
 		free[id] = max(free[id], r.now) + 20*time.Millisecond
 		waits, answers = waits+free[id]-r.now, answers+1
-		return free[id] - r.now, decide.OK
+		return free[id] - r.now, balancer.OK
 	}
 	r.run(10*time.Second, 100, "cheap")
 	r.run(10*time.Second, 400, "cheap")
--- a/decide/decide.go
+++ b/balancer/decide.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // All decisions of a node but the pace of cold servers (cold.go) and of calls for lists (ask.go).
 // The interface (settings, events, actions) is in api.go; docs/design.md says why.
--- a/decide/mode_test.go
+++ b/balancer/mode_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"math"
--- a/decide/ramp_test.go
+++ b/balancer/ramp_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package balancer_test
 
 // The ramp of cold servers, judged as the sum over a fleet: many modules on one virtual clock, servers that are slow in
 // proportion to their warmth, clients that come again. Only the module's interface is used.
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 // rampCase is a fleet and what befalls it. Times count from the start of the cold servers.
@@ -34,11 +34,11 @@
 }
 
 type fleetServer struct {
-	decide.Server
-	free  time.Duration // when it is done with what it has
-	down  bool
-	got   []time.Duration // arrivals since its start
-	knew  []bool          // whether the sender had been told
+	balancer.Server
+	free time.Duration // when it is done with what it has
+	down bool
+	got  []time.Duration // arrivals since its start
+	knew []bool          // whether the sender had been told
 }
 
 type fleetRequest struct {
@@ -73,14 +73,14 @@
 type fleet struct {
 	rampCase
 	r             *rand.Rand
-	set           decide.Settings
+	set           balancer.Settings
 	now, start    time.Duration
 	queue         fleetQueue
 	order, next   int
-	modules       []*decide.Module
+	modules       []*balancer.Module
 	lives, knows  []int // of each node: its present process; the process that was told of the start
 	backends      []*fleetServer
-	requests      map[decide.RequestID]*fleetRequest
+	requests      map[balancer.RequestID]*fleetRequest
 	capacity      float64
 	asked, denied int // since the start
 }
@@ -103,35 +103,35 @@
 	return math.Min(1, f.set.ColdFrom+(1-f.set.ColdFrom)*age/f.set.ColdTime.Seconds())
 }
 
-func (f *fleet) handle(node int, e decide.Event) {
+func (f *fleet) handle(node int, e balancer.Event) {
 	life := f.lives[node]
 	for _, a := range f.modules[node].Handle(f.now, e) {
 		switch a := a.(type) {
-		case decide.SetTimer:
+		case balancer.SetTimer:
 			late := time.Duration(0)
 			if f.nodes > 100 { // busy machines: the round of checks comes late
 				late = 75 * time.Millisecond
 			}
 			f.later(a.After+late, func() {
 				if f.lives[node] == life {
-					f.handle(node, decide.TimerFired{Token: a.Token})
+					f.handle(node, balancer.TimerFired{Token: a.Token})
 				}
 			})
-		case decide.Send:
+		case balancer.Send:
 			f.send(node, a)
-		case decide.Refuse:
+		case balancer.Refuse:
 			f.again(a.ID, a.HoldOff)
-		case decide.Fail:
+		case balancer.Fail:
 			f.again(a.ID, 0)
-		case decide.CancelAttempt:
+		case balancer.CancelAttempt:
 			q := f.requests[a.ID]
-			f.later(time.Millisecond, func() { f.end(q, a.ID, a.Attempt, 0, 0, decide.Cancelled) })
+			f.later(time.Millisecond, func() { f.end(q, a.ID, a.Attempt, 0, 0, balancer.Cancelled) })
 		}
 	}
 }
 
 // again is the client's next try after an answer that is none.
-func (f *fleet) again(id decide.RequestID, wait time.Duration) {
+func (f *fleet) again(id balancer.RequestID, wait time.Duration) {
 	q := f.requests[id]
 	q.final = true
 	if f.now >= f.start {
@@ -142,7 +142,7 @@
 	}
 }
 
-func (f *fleet) send(node int, a decide.Send) {
+func (f *fleet) send(node int, a balancer.Send) {
 	q, s := f.requests[a.ID], f.backends[a.Server-1]
 	n := len(q.attempts)
 	q.attempts = append(q.attempts, new(bool))
@@ -150,9 +150,9 @@
 	if a.Timeout > 0 {
 		limit = min(limit, a.Timeout)
 	}
-	code, took := decide.OK, time.Duration(0)
+	code, took := balancer.OK, time.Duration(0)
 	if s.down {
-		code, took = decide.ConnectFailed, min(limit, time.Millisecond)
+		code, took = balancer.ConnectFailed, min(limit, time.Millisecond)
 	} else {
 		if s.StartedAt > 0 {
 			s.got = append(s.got, f.now)
@@ -166,43 +166,43 @@
 		s.free = max(s.free, f.now) + time.Duration(float64(time.Second)/able)
 		took = s.free - f.now + time.Duration(float64(fleetAnswer)*(0.5+f.r.Float64())/warmth)
 		if f.r.Float64() < f.fails {
-			code = decide.ServerError
+			code = balancer.ServerError
 		}
 		if s.free > f.now+2*time.Second {
-			code, took = decide.Full, time.Millisecond
+			code, took = balancer.Full, time.Millisecond
 			s.free -= time.Duration(float64(time.Second) / able)
 		}
 	}
 	if took > limit {
-		code, took = decide.TimedOut, limit
+		code, took = balancer.TimedOut, limit
 	}
 	f.later(took, func() { f.end(q, a.ID, n, a.Server, took, code) })
 }
 
-func (f *fleet) end(q *fleetRequest, id decide.RequestID, n int, to decide.ServerID, took time.Duration, code decide.OutcomeCode) {
+func (f *fleet) end(q *fleetRequest, id balancer.RequestID, n int, to balancer.ServerID, took time.Duration, code balancer.OutcomeCode) {
 	if *q.attempts[n] {
 		return
 	}
 	*q.attempts[n] = true
-	if code == decide.OK && !q.final {
+	if code == balancer.OK && !q.final {
 		q.final = true
 	}
 	if f.requests[id] == q { // else its process is gone
-		f.handle(q.node, decide.AttemptEnded{ID: id, Attempt: n, Server: to, Elapsed: took, Code: code, Over: q.final})
+		f.handle(q.node, balancer.AttemptEnded{ID: id, Attempt: n, Server: to, Elapsed: took, Code: code, Over: q.final})
 	}
 }
 
 func (f *fleet) arrive(node, retries int) {
 	f.next++
-	id := decide.RequestID(fmt.Sprint(f.next))
+	id := balancer.RequestID(fmt.Sprint(f.next))
 	f.requests[id] = &fleetRequest{node: node, deadline: f.now + f.set.Classes[0].Deadline, retries: retries}
 	if f.now >= f.start {
 		f.asked++
 	}
-	f.handle(node, decide.RequestArrived{ID: id, Class: "page", Patience: f.set.Classes[0].Deadline, Repeat: retries > 0 && f.set.MarksRepeats})
+	f.handle(node, balancer.RequestArrived{ID: id, Class: "page", Patience: f.set.Classes[0].Deadline, Repeat: retries > 0 && f.set.MarksRepeats})
 }
 
-func (f *fleet) list() (all []decide.Server) {
+func (f *fleet) list() (all []balancer.Server) {
 	for _, s := range f.backends {
 		if s.StartedAt > 0 || f.down >= 0 || int(s.ID) > max(1, f.cold) {
 			all = append(all, f.listed(s))
@@ -212,7 +212,7 @@
 }
 
 // listed is a server as a list names it.
-func (f *fleet) listed(s *fleetServer) decide.Server {
+func (f *fleet) listed(s *fleetServer) balancer.Server {
 	l := s.Server
 	switch {
 	case l.StartedAt > 0:
@@ -243,12 +243,12 @@
 
 func (f *fleet) run(seed int64) {
 	f.r = rand.New(rand.NewSource(seed))
-	f.requests = map[decide.RequestID]*fleetRequest{}
-	f.set = decide.Settings{Nodes: f.nodes, MaxAttempts: 3, MayCancel: true, HoldOffs: true, MaxHoldOff: 1500 * time.Millisecond,
+	f.requests = map[balancer.RequestID]*fleetRequest{}
+	f.set = balancer.Settings{Nodes: f.nodes, MaxAttempts: 3, MayCancel: true, HoldOffs: true, MaxHoldOff: 1500 * time.Millisecond,
 		ConnectTimeout: 150 * time.Millisecond, MinTick: 5 * time.Millisecond, AnswerSlack: 20 * time.Millisecond,
 		DrainGrace: time.Second, ColdFrom: 0.12, ColdTime: 23 * time.Second, OverloadFactor: 4, OverloadTime: time.Second,
-		Classes: []decide.Class{{Name: "page", Worth: 5, Aim: 400 * time.Millisecond, Deadline: time.Second, LateWorth: 0.5,
-			Effect: decide.Safe}}}
+		Classes: []balancer.Class{{Name: "page", Worth: 5, Aim: 400 * time.Millisecond, Deadline: time.Second, LateWorth: 0.5,
+			Effect: balancer.Safe}}}
 	if f.used == 0 {
 		f.used = 0.7
 	}
@@ -259,7 +259,7 @@
 	f.now = time.Hour
 	f.start = f.now + fleetBefore + max(0, f.down)
 	for i := range f.servers {
-		f.backends = append(f.backends, &fleetServer{Server: decide.Server{ID: decide.ServerID(i + 1), Zone: "z", Size: 1}})
+		f.backends = append(f.backends, &fleetServer{Server: balancer.Server{ID: balancer.ServerID(i + 1), Zone: "z", Size: 1}})
 	}
 	weights, sum := make([]float64, f.nodes), 0.0
 	for i := range weights {
@@ -268,7 +268,7 @@
 		}
 		sum += weights[i]
 	}
-	f.modules, f.lives, f.knows = make([]*decide.Module, f.nodes), make([]int, f.nodes), make([]int, f.nodes)
+	f.modules, f.lives, f.knows = make([]*balancer.Module, f.nodes), make([]int, f.nodes), make([]int, f.nodes)
 	for i := range f.modules {
 		f.knows[i] = -1
 		f.boot(i)
@@ -297,11 +297,11 @@
 			}
 			f.later(wait, func() {
 				f.knows[i] = f.lives[i]
-				var news []decide.Server
+				var news []balancer.Server
 				for _, s := range cold {
 					news = append(news, f.listed(s))
 				}
-				f.handle(i, decide.ListUpdate{Kind: decide.ListChanges, Entries: news})
+				f.handle(i, balancer.ListUpdate{Kind: balancer.ListChanges, Entries: news})
 			})
 		}
 	})
@@ -318,13 +318,13 @@
 func (f *fleet) boot(node int) {
 	set := f.set
 	set.Self = node
-	f.modules[node] = decide.New(set, f.r.Int63())
+	f.modules[node] = balancer.New(set, f.r.Int63())
 	for id, q := range f.requests {
 		if q.node == node {
 			delete(f.requests, id)
 		}
 	}
-	f.handle(node, decide.ListUpdate{Kind: decide.ListCached, Entries: f.list()})
+	f.handle(node, balancer.ListUpdate{Kind: balancer.ListCached, Entries: f.list()})
 }
 
 // worst is the span of OverloadTime in which a server got most beyond its allowance: what the settings allow it then,
--- a/decide/state.go
+++ b/balancer/state.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // The state that decide.go keeps, and its source of random numbers. Nothing is decided here.
 
--- a/decide/window_test.go
+++ b/balancer/window_test.go
@@ -1,10 +1,10 @@
-package decide_test
+package balancer_test
 
 import (
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 // TestSlowAnswerIsAwaited: an attempt that takes much longer than usual is
@@ -15,34 +15,34 @@
 	const slow = 900 * time.Millisecond // within every deadline and aim
 	for _, c := range []struct {
 		name     string
-		effect   decide.Effect
-		scope    decide.Scope
+		effect   balancer.Effect
+		scope    balancer.Scope
 		window   time.Duration
 		attempts int
 		waits    bool
 	}{
-		{"safe", decide.Safe, decide.ScopeAll, 0, 3, false},
-		{"keyed, long window", decide.Keyed, decide.ScopeCell, 5 * time.Second, 3, false},
-		{"keyed, short window", decide.Keyed, decide.ScopeCell, 300 * time.Millisecond, 3, true},
-		{"keyed, window just over", decide.Keyed, decide.ScopeZone, 760 * time.Millisecond, 3, false},
-		{"keyed, last attempt", decide.Keyed, decide.ScopeZone, 5 * time.Second, 1, true},
-		{"keyed everywhere, last attempt", decide.Keyed, decide.ScopeAll, 5 * time.Second, 1, false},
+		{"safe", balancer.Safe, balancer.ScopeAll, 0, 3, false},
+		{"keyed, long window", balancer.Keyed, balancer.ScopeCell, 5 * time.Second, 3, false},
+		{"keyed, short window", balancer.Keyed, balancer.ScopeCell, 300 * time.Millisecond, 3, true},
+		{"keyed, window just over", balancer.Keyed, balancer.ScopeZone, 760 * time.Millisecond, 3, false},
+		{"keyed, last attempt", balancer.Keyed, balancer.ScopeZone, 5 * time.Second, 1, true},
+		{"keyed everywhere, last attempt", balancer.Keyed, balancer.ScopeAll, 5 * time.Second, 1, false},
 	} {
 		s := rigSettings()
 		s.MaxAttempts = c.attempts
-		s.Classes = append(s.Classes, decide.Class{Name: "c", Worth: 12, Aim: 1500 * time.Millisecond, Deadline: 2 * time.Second,
+		s.Classes = append(s.Classes, balancer.Class{Name: "c", Worth: 12, Aim: 1500 * time.Millisecond, Deadline: 2 * time.Second,
 			Effect: c.effect, KeyScope: c.scope, DedupWindow: c.window})
 		r := newRig(t, s, 3)
 		r.run(3*time.Second, 100, "cheap")
 		r.run(time.Second, 0, "cheap")
 		r.reset()
 		first := true
-		r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) {
+		r.delay = func(balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 			if first {
 				first = false
-				return slow, decide.OK
+				return slow, balancer.OK
 			}
-			return 50 * time.Millisecond, decide.OK
+			return 50 * time.Millisecond, balancer.OK
 		}
 		r.run(5*time.Millisecond, 200, "c")
 		r.run(2*time.Second, 0, "c")
--- a/decide/world_test.go
+++ b/balancer/world_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package balancer_test
 
 // A small world that drives the module through legal but unkind events, and an independent checker of the
 // rules. Nothing here uses the module's own code beyond its interface.
@@ -10,18 +10,18 @@
 	"sort"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 type sentAttempt struct {
-	server decide.ServerID
+	server balancer.ServerID
 	at     time.Duration
 	ended  bool
-	code   decide.OutcomeCode
+	code   balancer.OutcomeCode
 }
 
 type liveRequest struct {
-	class    decide.Class
+	class    balancer.Class
 	deadline time.Duration
 	attempts []sentAttempt
 	final    bool
@@ -29,7 +29,7 @@
 }
 
 type listed struct {
-	decide.Server
+	balancer.Server
 	drainTold time.Duration // when the node was told that it drains or is gone; 0: it is ready
 	startTold bool
 	used      time.Duration // the last notice of a drain, send or outcome; 0: none since the last CloseIdle
@@ -38,24 +38,24 @@
 type pending struct {
 	at    time.Duration
 	order int
-	event decide.Event
-	id    decide.RequestID
+	event balancer.Event
+	id    balancer.RequestID
 }
 
 type world struct {
-	set      decide.Settings
+	set      balancer.Settings
 	r        *rand.Rand
 	now      time.Duration
 	queue    []pending
 	order    int
-	requests map[decide.RequestID]*liveRequest
-	servers  map[decide.ServerID]*listed
-	ids      []decide.ServerID
-	sends    map[decide.ServerID][]time.Duration
+	requests map[balancer.RequestID]*liveRequest
+	servers  map[balancer.ServerID]*listed
+	ids      []balancer.ServerID
+	sends    map[balancer.ServerID][]time.Duration
 	capacity float64 // requests a second that this node's share of a warm server can do
-	module   *decide.Module
-	mutate   func(w *world, a []decide.Action) []decide.Action
-	events   []decide.Event
+	module   *balancer.Module
+	mutate   func(w *world, a []balancer.Action) []balancer.Action
+	events   []balancer.Event
 	times    []time.Duration
 	actions  []string
 	broken   []string
@@ -72,7 +72,7 @@
 	w.queue = append(w.queue, p)
 }
 
-func (w *world) handle(e decide.Event) {
+func (w *world) handle(e balancer.Event) {
 	w.events, w.times = append(w.events, e), append(w.times, w.now)
 	actions := w.module.Handle(w.now, e)
 	w.actions = append(w.actions, fmt.Sprintf("%#v", actions))
@@ -85,15 +85,15 @@
 }
 
 // sameGroup is the checker's own reading of the scopes.
-func sameGroup(s decide.Scope, a, b *listed) bool {
-	return s == decide.ScopeAll || s == decide.ScopeZone && a.Zone == b.Zone || s == decide.ScopeCell && a.Cell == b.Cell
+func sameGroup(s balancer.Scope, a, b *listed) bool {
+	return s == balancer.ScopeAll || s == balancer.ScopeZone && a.Zone == b.Zone || s == balancer.ScopeCell && a.Cell == b.Cell
 }
 
-func neverRan(c decide.OutcomeCode) bool {
-	return c == decide.Full || c == decide.ConnectFailed || c == decide.Moot
+func neverRan(c balancer.OutcomeCode) bool {
+	return c == balancer.Full || c == balancer.ConnectFailed || c == balancer.Moot
 }
 
-func (w *world) checkSend(q *liveRequest, a decide.Send) {
+func (w *world) checkSend(q *liveRequest, a balancer.Send) {
 	s := w.servers[a.Server]
 	if s == nil {
 		w.fault("send to server %d, which was never listed", a.Server)
@@ -119,10 +119,10 @@
 		if !p.ended && !w.set.MayOverlap {
 			w.fault("two attempts out at once")
 		}
-		if p.ended && neverRan(p.code) || q.class.Effect == decide.Safe {
+		if p.ended && neverRan(p.code) || q.class.Effect == balancer.Safe {
 			continue
 		}
-		if q.class.Effect == decide.Unsafe {
+		if q.class.Effect == balancer.Unsafe {
 			w.fault("unsafe request sent again")
 		} else if !sameGroup(q.class.KeyScope, s, w.servers[p.server]) || w.now > p.at+q.class.DedupWindow {
 			w.fault("keyed request sent outside its group or window")
@@ -146,9 +146,9 @@
 	}
 }
 
-func (w *world) carryOut(a decide.Action) {
+func (w *world) carryOut(a balancer.Action) {
 	switch a := a.(type) {
-	case decide.Send:
+	case balancer.Send:
 		q := w.requests[a.ID]
 		if q == nil {
 			w.fault("send for an unknown request")
@@ -161,63 +161,63 @@
 		q.attempts = append(q.attempts, sentAttempt{server: a.Server, at: w.now})
 		w.servers[a.Server].used = w.now
 		w.outcome(a, q, len(q.attempts)-1)
-	case decide.Refuse:
+	case balancer.Refuse:
 		q := w.final(a.ID)
 		if q == nil {
 			return
 		}
 		for _, p := range q.attempts {
 			ran := !p.ended || !neverRan(p.code)
-			if ran && (q.class.Effect == decide.Unsafe ||
-				q.class.Effect == decide.Keyed && q.class.KeyScope != decide.ScopeAll) {
+			if ran && (q.class.Effect == balancer.Unsafe ||
+				q.class.Effect == balancer.Keyed && q.class.KeyScope != balancer.ScopeAll) {
 				w.fault("refused although it may have run")
 			}
 		}
-	case decide.Fail:
+	case balancer.Fail:
 		w.final(a.ID)
-	case decide.CancelAttempt:
+	case balancer.CancelAttempt:
 		q := w.requests[a.ID]
 		if !w.set.MayCancel || q == nil || a.Attempt >= len(q.attempts) {
 			w.fault("forbidden or unknown cancel")
 			return
 		}
-		w.later(time.Millisecond, pending{id: a.ID, event: decide.AttemptEnded{ID: a.ID, Attempt: a.Attempt,
-			Server: q.attempts[a.Attempt].server, Code: decide.Cancelled}})
-	case decide.Probe:
+		w.later(time.Millisecond, pending{id: a.ID, event: balancer.AttemptEnded{ID: a.ID, Attempt: a.Attempt,
+			Server: q.attempts[a.Attempt].server, Code: balancer.Cancelled}})
+	case balancer.Probe:
 		if !w.set.MayProbe {
 			w.fault("forbidden probe")
 		}
-		e := decide.ProbeEnded{Server: a.Server, Code: []decide.OutcomeCode{decide.OK, decide.OK, decide.TimedOut}[w.r.Intn(3)]}
-		if e.Code == decide.OK {
-			e.Report = &decide.Report{InFlight: float64(w.r.Intn(9)), HasInFlight: true, Queue: float64(w.r.Intn(5))}
+		e := balancer.ProbeEnded{Server: a.Server, Code: []balancer.OutcomeCode{balancer.OK, balancer.OK, balancer.TimedOut}[w.r.Intn(3)]}
+		if e.Code == balancer.OK {
+			e.Report = &balancer.Report{InFlight: float64(w.r.Intn(9)), HasInFlight: true, Queue: float64(w.r.Intn(5))}
 		}
 		w.later(time.Duration(w.r.Intn(20))*time.Millisecond, pending{event: e})
-	case decide.CloseIdle:
+	case balancer.CloseIdle:
 		if s := w.servers[a.Server]; s == nil {
 			w.fault("close of connections to an unknown server")
 		} else {
 			s.used = 0
 		}
-	case decide.SendMessage:
+	case balancer.SendMessage:
 		if !w.set.MayMessage || len(a.Data) > 256 {
 			w.fault("forbidden message")
 		}
-	case decide.SetTimer:
+	case balancer.SetTimer:
 		late := time.Duration(0)
 		if w.r.Intn(20) == 0 {
 			late = time.Duration(w.r.Intn(200)) * time.Millisecond
 		}
-		w.later(a.After+late, pending{event: decide.TimerFired{Token: a.Token}})
-	case decide.Subscribe, decide.FetchList:
+		w.later(a.After+late, pending{event: balancer.TimerFired{Token: a.Token}})
+	case balancer.Subscribe, balancer.FetchList:
 		if w.r.Intn(3) == 0 {
-			w.later(time.Second, pending{event: decide.ListUpdate{Kind: decide.ListFailed}})
+			w.later(time.Second, pending{event: balancer.ListUpdate{Kind: balancer.ListFailed}})
 		} else {
-			w.later(50*time.Millisecond, pending{event: decide.ListUpdate{Kind: decide.ListChanges}})
+			w.later(50*time.Millisecond, pending{event: balancer.ListUpdate{Kind: balancer.ListChanges}})
 		}
 	}
 }
 
-func (w *world) final(id decide.RequestID) *liveRequest {
+func (w *world) final(id balancer.RequestID) *liveRequest {
 	q := w.requests[id]
 	if q == nil {
 		w.fault("answer to an unknown request")
@@ -231,35 +231,35 @@
 }
 
 // outcome plans how an attempt ends.
-func (w *world) outcome(a decide.Send, q *liveRequest, n int) {
+func (w *world) outcome(a balancer.Send, q *liveRequest, n int) {
 	limit := q.deadline - w.now
 	if a.Timeout != 0 {
 		limit = min(limit, a.Timeout)
 	}
-	codes := []decide.OutcomeCode{decide.OK, decide.OK, decide.OK, decide.OK, decide.OK, decide.ServerError,
-		decide.Full, decide.TimedOut, decide.ConnectFailed, decide.Reset, decide.Moot}
+	codes := []balancer.OutcomeCode{balancer.OK, balancer.OK, balancer.OK, balancer.OK, balancer.OK, balancer.ServerError,
+		balancer.Full, balancer.TimedOut, balancer.ConnectFailed, balancer.Reset, balancer.Moot}
 	code, took := codes[w.r.Intn(len(codes))], time.Duration(1+w.r.Intn(400))*time.Millisecond
 	if uint32(a.Server)%5 == uint32(w.now.Seconds()/7)%5 && w.r.Intn(2) == 0 {
-		code = decide.TimedOut // some servers are silent for a while
+		code = balancer.TimedOut // some servers are silent for a while
 	}
-	if code == decide.TimedOut || took > limit {
-		code, took = decide.TimedOut, limit
+	if code == balancer.TimedOut || took > limit {
+		code, took = balancer.TimedOut, limit
 	}
-	if q.class.Streamed && code == decide.OK && took > 10*time.Millisecond && w.r.Intn(2) == 0 {
-		w.later(took/2, pending{event: decide.StreamStarted{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: took / 2}})
+	if q.class.Streamed && code == balancer.OK && took > 10*time.Millisecond && w.r.Intn(2) == 0 {
+		w.later(took/2, pending{event: balancer.StreamStarted{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: took / 2}})
 	}
-	var report *decide.Report
+	var report *balancer.Report
 	if w.r.Intn(3) == 0 {
-		report = &decide.Report{InFlight: float64(w.r.Intn(30)), HasInFlight: w.r.Intn(4) > 0}
+		report = &balancer.Report{InFlight: float64(w.r.Intn(30)), HasInFlight: w.r.Intn(4) > 0}
 	}
-	w.later(took, pending{id: a.ID, event: decide.AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: took,
+	w.later(took, pending{id: a.ID, event: balancer.AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: took,
 		Code: code, Report: report}})
 }
 
 // deliver hands an event over, as the wire would: one outcome for each attempt, none for what the node forgot.
 func (w *world) deliver(p pending) {
 	switch e := p.event.(type) {
-	case decide.AttemptEnded:
+	case balancer.AttemptEnded:
 		q := w.requests[e.ID]
 		if q == nil || q.attempts[e.Attempt].ended {
 			return
@@ -267,19 +267,19 @@
 		at := &q.attempts[e.Attempt]
 		at.ended, at.code = true, e.Code
 		w.servers[at.server].used = w.now
-		e.Over = q.final || e.Code == decide.OK
-		if e.Code == decide.OK && !q.final {
+		e.Over = q.final || e.Code == balancer.OK
+		if e.Code == balancer.OK && !q.final {
 			q.final = true
 		}
 		w.handle(e)
 		return
-	case decide.StreamStarted:
+	case balancer.StreamStarted:
 		q := w.requests[e.ID]
 		if q == nil || q.final || q.attempts[e.Attempt].ended {
 			return
 		}
 		q.stream = true
-	case decide.RequestAbandoned:
+	case balancer.RequestAbandoned:
 		q := w.requests[e.ID]
 		if q == nil || q.final {
 			return
@@ -292,7 +292,7 @@
 // arrivals and changes of the list.
 func (w *world) arrive() {
 	w.next++
-	id := decide.RequestID(fmt.Sprintf("%036d", w.next))
+	id := balancer.RequestID(fmt.Sprintf("%036d", w.next))
 	c := w.set.Classes[w.r.Intn(len(w.set.Classes))]
 	patience := time.Duration(float64(c.Deadline) * (0.3 + 0.7*w.r.Float64()))
 	if w.r.Intn(50) == 0 {
@@ -300,24 +300,24 @@
 	}
 	w.requests[id] = &liveRequest{class: c, deadline: w.now + patience}
 	if w.r.Intn(40) == 0 {
-		w.later(patience/2, pending{event: decide.RequestAbandoned{ID: id}})
+		w.later(patience/2, pending{event: balancer.RequestAbandoned{ID: id}})
 	}
-	e := decide.RequestArrived{ID: id, Class: c.Name, Patience: patience}
+	e := balancer.RequestArrived{ID: id, Class: c.Name, Patience: patience}
 	if len(w.set.Tenants) > 0 {
 		e.Tenant = w.set.Tenants[w.r.Intn(len(w.set.Tenants))].Name
 	}
 	w.handle(e)
 }
 
-func (w *world) newServer(started time.Duration) decide.Server {
+func (w *world) newServer(started time.Duration) balancer.Server {
 	w.next++
-	return decide.Server{ID: decide.ServerID(w.next*2654435761 + 1), Zone: fmt.Sprint("z", w.r.Intn(2)),
+	return balancer.Server{ID: balancer.ServerID(w.next*2654435761 + 1), Zone: fmt.Sprint("z", w.r.Intn(2)),
 		Kind: fmt.Sprint("k", w.r.Intn(2)), Cell: w.r.Intn(3), Size: 1, StartedAt: started}
 }
 
 // tell records what a list says and passes it on.
-func (w *world) tell(kind decide.ListKind, entries []decide.Server) {
-	in := map[decide.ServerID]bool{}
+func (w *world) tell(kind balancer.ListKind, entries []balancer.Server) {
+	in := map[balancer.ServerID]bool{}
 	for _, n := range entries {
 		s := w.servers[n.ID]
 		if s == nil {
@@ -325,71 +325,71 @@
 			w.servers[n.ID] = s
 			w.ids = append(w.ids, n.ID)
 		}
-		if n.State != decide.Ready && s.drainTold == 0 {
+		if n.State != balancer.Ready && s.drainTold == 0 {
 			s.used = w.now
 		}
-		s.startTold = n.State == decide.Ready && n.StartedAt > 0
+		s.startTold = n.State == balancer.Ready && n.StartedAt > 0
 		s.Server = n
 		in[n.ID] = true
-		if n.State == decide.Ready {
+		if n.State == balancer.Ready {
 			s.drainTold = 0
 		} else if s.drainTold == 0 {
 			s.drainTold = w.now
 		}
 	}
-	if kind != decide.ListChanges {
+	if kind != balancer.ListChanges {
 		for _, id := range w.ids {
 			if s := w.servers[id]; !in[id] && s.drainTold == 0 {
-				s.drainTold, s.State = w.now, decide.Gone
+				s.drainTold, s.State = w.now, balancer.Gone
 			}
 		}
 	}
-	w.handle(decide.ListUpdate{Kind: kind, Entries: entries})
+	w.handle(balancer.ListUpdate{Kind: kind, Entries: entries})
 }
 
 func (w *world) changeList() {
 	s := w.servers[w.ids[w.r.Intn(len(w.ids))]].Server
 	switch w.r.Intn(6) {
 	case 0:
-		s.State = decide.Draining
+		s.State = balancer.Draining
 	case 1:
-		s.State = decide.Gone
+		s.State = balancer.Gone
 	case 2:
-		s.State, s.StartedAt = decide.Ready, w.now
+		s.State, s.StartedAt = balancer.Ready, w.now
 	case 3:
 		s = w.newServer(w.now)
 	case 4:
-		var all []decide.Server
+		var all []balancer.Server
 		for _, id := range w.ids {
-			if e := w.servers[id].Server; e.State != decide.Gone {
+			if e := w.servers[id].Server; e.State != balancer.Gone {
 				all = append(all, e)
 			}
 		}
-		w.tell(decide.ListFull, all)
+		w.tell(balancer.ListFull, all)
 		return
 	case 5:
 		if w.set.AskForList {
-			w.handle(decide.ListUpdate{Kind: decide.ListFailed})
+			w.handle(balancer.ListUpdate{Kind: balancer.ListFailed})
 		}
 		return
 	}
-	w.tell(decide.ListChanges, []decide.Server{s})
+	w.tell(balancer.ListChanges, []balancer.Server{s})
 }
 
 func (w *world) start() {
-	w.module = decide.New(w.set, w.r.Int63())
-	w.requests, w.queue = map[decide.RequestID]*liveRequest{}, nil
-	var all []decide.Server
+	w.module = balancer.New(w.set, w.r.Int63())
+	w.requests, w.queue = map[balancer.RequestID]*liveRequest{}, nil
+	var all []balancer.Server
 	for _, id := range w.ids {
-		if e := w.servers[id].Server; e.State != decide.Gone {
+		if e := w.servers[id].Server; e.State != balancer.Gone {
 			all = append(all, e)
 		}
 	}
 	for len(all) < 4 {
 		all = append(all, w.newServer(0))
 	}
-	w.servers, w.ids = map[decide.ServerID]*listed{}, nil
-	w.tell(decide.ListCached, all)
+	w.servers, w.ids = map[balancer.ServerID]*listed{}, nil
+	w.tell(balancer.ListCached, all)
 }
 
 // run plays a stretch of time; restarts says whether the node may be restarted in between.
@@ -416,7 +416,7 @@
 			w.start()
 		}
 		for _, id := range w.ids {
-			if s := w.servers[id]; s.State == decide.Draining && s.used > 0 && w.set.DrainClose > 0 &&
+			if s := w.servers[id]; s.State == balancer.Draining && s.used > 0 && w.set.DrainClose > 0 &&
 				w.now > s.used+w.set.DrainClose {
 				w.fault("connections to server %d, which drains, were left open", id)
 				s.used = 0
@@ -433,24 +433,24 @@
 
 func newWorld(seed int64) *world {
 	r := rand.New(rand.NewSource(seed))
-	w := &world{r: r, now: time.Hour, servers: map[decide.ServerID]*listed{}, sends: map[decide.ServerID][]time.Duration{}}
+	w := &world{r: r, now: time.Hour, servers: map[balancer.ServerID]*listed{}, sends: map[balancer.ServerID][]time.Duration{}}
 	ms := func(lo, hi int) time.Duration { return time.Duration(lo+r.Intn(hi-lo)) * time.Millisecond }
-	w.set = decide.Settings{Nodes: 1 + r.Intn(6), Zone: "z0", MaxAttempts: 1 + r.Intn(5), MayOverlap: r.Intn(2) == 0,
-		MayCancel: r.Intn(3) > 0, MayProbe: r.Intn(2) == 0, ReportVia: decide.ReportVia(r.Intn(3)), MayMessage: r.Intn(2) == 0, HoldOffs: r.Intn(2) == 0,
+	w.set = balancer.Settings{Nodes: 1 + r.Intn(6), Zone: "z0", MaxAttempts: 1 + r.Intn(5), MayOverlap: r.Intn(2) == 0,
+		MayCancel: r.Intn(3) > 0, MayProbe: r.Intn(2) == 0, ReportVia: balancer.ReportVia(r.Intn(3)), MayMessage: r.Intn(2) == 0, HoldOffs: r.Intn(2) == 0,
 		MaxHoldOff: time.Second, ConnectTimeout: 100 * time.Millisecond, MinTick: 5 * time.Millisecond,
 		AskForList: r.Intn(2) == 0, AnswerSlack: 20 * time.Millisecond, AskWithin: 10 * time.Second,
 		DrainGrace: ms(0, 1000), DrainClose: time.Duration(r.Intn(2)) * ms(20, 500),
 		ColdFrom: 0.3, ColdTime: ms(3000, 9000), OverloadFactor: 2.5, OverloadTime: time.Second}
 	for i, n := 0, 1+r.Intn(4); i < n; i++ {
 		aim := ms(100, 1500)
-		w.set.Classes = append(w.set.Classes, decide.Class{Name: fmt.Sprint("c", i), Worth: float64(r.Intn(13)), Aim: aim,
-			Deadline: 2*aim + ms(0, 2000), LateWorth: float64(r.Intn(2)) / 2, Effect: decide.Effect(r.Intn(3)),
-			KeyScope: decide.Scope(r.Intn(3)), DedupWindow: ms(100, 4000), Streamed: r.Intn(4) == 0,
+		w.set.Classes = append(w.set.Classes, balancer.Class{Name: fmt.Sprint("c", i), Worth: float64(r.Intn(13)), Aim: aim,
+			Deadline: 2*aim + ms(0, 2000), LateWorth: float64(r.Intn(2)) / 2, Effect: balancer.Effect(r.Intn(3)),
+			KeyScope: balancer.Scope(r.Intn(3)), DedupWindow: ms(100, 4000), Streamed: r.Intn(4) == 0,
 			OnlyZones: [][]string{nil, nil, {"z0"}, {"z1", "z0"}, {}}[r.Intn(5)],
 			OnlyKinds: [][]string{nil, nil, nil, {"k1"}}[r.Intn(4)]})
 	}
 	if r.Intn(3) == 0 {
-		w.set.Tenants = []decide.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
+		w.set.Tenants = []balancer.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
 	}
 	w.start()
 	return w
--- a/cmd/bankshift-lab/agree.go
+++ b/cmd/bankshift-lab/agree.go
@@ -7,9 +7,9 @@
 	"math"
 	"text/tabwriter"
 
-	"indigotack/internal/lab/fleet"
-	"indigotack/internal/lab/hollow"
-	"indigotack/internal/lab/result"
+	"bankshift/internal/lab/fleet"
+	"bankshift/internal/lab/hollow"
+	"bankshift/internal/lab/result"
 )
 
 // comparison is a quantity that hollow and real nodes must agree on.
--- a/cmd/bankshift-lab/main.go
+++ b/cmd/bankshift-lab/main.go
@@ -19,11 +19,11 @@
 
 	"github.com/alecthomas/kong"
 
-	"indigotack/internal/lab/fleet"
-	"indigotack/internal/lab/hollow"
-	"indigotack/internal/lab/result"
-	"indigotack/internal/lab/scenario"
-	"indigotack/internal/lab/slopes"
+	"bankshift/internal/lab/fleet"
+	"bankshift/internal/lab/hollow"
+	"bankshift/internal/lab/result"
+	"bankshift/internal/lab/scaling"
+	"bankshift/internal/lab/scenario"
 )
 
 const (
@@ -91,7 +91,7 @@
 func run(ctx context.Context, args []string, o out) (code int) {
 	var c cli
 	parser, err := kong.New(&c, kong.Name("bankshift-lab"), kong.Description(description), kong.Writers(o.stdout, o.stderr),
-		kong.Vars{"measurements": strings.Join(slopes.Names(), ", ")}, kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(o),
+		kong.Vars{"measurements": strings.Join(scaling.Names(), ", ")}, kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(o),
 		kong.Exit(func(code int) { panic(exit(code)) })) // after --help
 	if err != nil {
 		fmt.Fprintln(o.stderr, "bankshift-lab:", err)
@@ -181,7 +181,7 @@
 			return err
 		}
 	}
-	r, err := slopes.Run(ctx, &slopes.Env{Node: c.Node, Dir: dir, Measure: c.Measure,
+	r, err := scaling.Run(ctx, &scaling.Env{Node: c.Node, Dir: dir, Measure: c.Measure,
 		Log: func(format string, args ...any) { fmt.Fprintf(o.stderr, format+"\n", args...) }}, c.What...)
 	if err != nil {
 		return err
--- a/cmd/bankshift-lab/main_test.go
+++ b/cmd/bankshift-lab/main_test.go
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
-	"indigotack/internal/lab/result"
-	"indigotack/internal/lab/slopes"
+	"bankshift/internal/lab/result"
+	"bankshift/internal/lab/scaling"
 )
 
 const small = `
@@ -64,7 +64,7 @@
 		{[]string{}, exitUsage, "run"},
 		{[]string{"nonsense"}, exitUsage, "nonsense"},
 		{[]string{"--help"}, exitHeld, "bankshift-lab agree scenarios/"},
-		{[]string{"slopes", "--help"}, exitHeld, strings.Join(slopes.Names()[:2], ", ")},
+		{[]string{"slopes", "--help"}, exitHeld, strings.Join(scaling.Names()[:2], ", ")},
 	} {
 		code, o, e := call(t, c.args...)
 		if code != c.code || !strings.Contains(o+e, c.says) {
@@ -133,7 +133,7 @@
 // module besides the standard library.
 func TestNodeStaysLean(t *testing.T) {
 	list, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}",
-		"indigotack/cmd/indigotack", "indigotack/cmd/simhost").Output()
+		"bankshift/cmd/bankshift", "bankshift/cmd/simhost").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,7 +142,7 @@
 		t.Errorf("only %q are listed", packages)
 	}
 	for _, p := range packages {
-		if !strings.HasPrefix(p, "indigotack/") || strings.HasPrefix(p, "indigotack/internal/lab") {
+		if !strings.HasPrefix(p, "bankshift/") || strings.HasPrefix(p, "bankshift/internal/lab") {
 			t.Errorf("the node needs %s", p)
 		}
 	}
--- a/cmd/indigotack/main.go
+++ b/cmd/bankshift/main.go
@@ -1,4 +1,4 @@
-// Command indigotack is one load-balancing proxy node. It reads the file that
+// Command bankshift is one load-balancing proxy node. It reads the file that
 // GW_CONFIG names, serves until SIGTERM or SIGINT, finishes what is open and
 // exits with 0. On SIGHUP it reads the file again.
 package main
@@ -13,12 +13,12 @@
 	"syscall"
 	"time"
 
-	"indigotack/internal/node"
+	"bankshift/internal/node"
 )
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "indigotack:", err)
+		fmt.Fprintln(os.Stderr, "bankshift:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -10,8 +10,8 @@
 	"io"
 	"os"
 
-	"indigotack/decide"
-	"indigotack/internal/wire"
+	"bankshift/balancer"
+	"bankshift/internal/simwire"
 )
 
 func main() {
@@ -23,7 +23,7 @@
 
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	nodes := map[int]*decide.Module{}
+	nodes := map[int]*balancer.Module{}
 	var reply []byte
 	for number := 1; ; number++ {
 		line, err := r.ReadBytes('\n')
@@ -37,7 +37,7 @@
 		if err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
-		reply = wire.AppendReply(reply[:0], replies)
+		reply = simwire.AppendReply(reply[:0], replies)
 		if _, err := w.Write(reply); err != nil {
 			return err
 		}
@@ -47,18 +47,18 @@
 	}
 }
 
-func answer(nodes map[int]*decide.Module, line []byte) ([]wire.Reply, error) {
-	batch, err := wire.DecodeBatch(line)
+func answer(nodes map[int]*balancer.Module, line []byte) ([]simwire.Reply, error) {
+	batch, err := simwire.DecodeBatch(line)
 	if err != nil {
 		return nil, err
 	}
-	var replies []wire.Reply
+	var replies []simwire.Reply
 	for _, g := range batch.Groups {
-		reply := wire.Reply{Node: g.Node}
+		reply := simwire.Reply{Node: g.Node}
 		for i, h := range g.Events {
 			switch {
 			case h.Start != nil:
-				nodes[g.Node] = decide.New(h.Start.Settings, h.Start.Seed)
+				nodes[g.Node] = balancer.New(h.Start.Settings, h.Start.Seed)
 			case h.Retire:
 				delete(nodes, g.Node)
 				reply.Actions = nil // a dead instance does nothing
--- a/internal/discovery/chain_test.go
+++ b/internal/discovery/chain_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 // service is a discovery on a virtual clock: out of order from one time to
@@ -40,7 +40,7 @@
 type virtual struct {
 	service *service
 	w       *Watcher
-	m       *decide.Module // nil where lists are pushed
+	m       *balancer.Module // nil where lists are pushed
 	call    Call
 	calling bool
 	end     time.Duration // of the call
@@ -55,27 +55,27 @@
 	due     time.Duration
 }
 
-func newVirtual(s decide.Settings, service *service, seed int64, start time.Duration) *virtual {
+func newVirtual(s balancer.Settings, service *service, seed int64, start time.Duration) *virtual {
 	v := &virtual{service: service, w: NewWatcher(PaceOf(s), rand.New(rand.NewSource(seed)).Float64), moveAt: Never, tick: Never, known: Never}
 	if s.AskForList {
-		v.m = decide.New(s, seed)
-		v.tell(start, decide.ListUpdate{Kind: decide.ListCached})
+		v.m = balancer.New(s, seed)
+		v.tell(start, balancer.ListUpdate{Kind: balancer.ListCached})
 	}
 	v.due = start
 	return v
 }
 
-func (v *virtual) tell(now time.Duration, e decide.Event) {
+func (v *virtual) tell(now time.Duration, e balancer.Event) {
 	if v.m == nil {
 		return
 	}
 	for _, a := range v.m.Handle(now, e) {
 		switch a := a.(type) {
-		case decide.SetTimer:
+		case balancer.SetTimer:
 			v.tick = now + a.After
-		case decide.Subscribe:
+		case balancer.Subscribe:
 			v.ask(now, false, a.On)
-		case decide.FetchList:
+		case balancer.FetchList:
 			v.ask(now, true, true)
 		}
 	}
@@ -144,7 +144,7 @@
 }
 
 // step does what is due, and tells when to come again.
-func (v *virtual) step(now time.Duration, s decide.Settings) {
+func (v *virtual) step(now time.Duration, s balancer.Settings) {
 	if now >= v.moveAt {
 		v.service, v.failed, v.moveAt, v.calling = v.to, 0, Never, false
 		v.w = NewWatcher(PaceOf(s), v.w.random)
@@ -159,14 +159,14 @@
 				v.known = now
 			}
 			if v.w.Answered(now, v.call, l) {
-				v.tell(now, decide.ListUpdate{Kind: l.Kind()})
+				v.tell(now, balancer.ListUpdate{Kind: l.Kind()})
 			}
 		} else if v.refused && v.service.answers && v.w.Refused(now, v.call) || v.w.Failed(now, v.call) {
-			v.tell(now, decide.ListUpdate{Kind: decide.ListFailed})
+			v.tell(now, balancer.ListUpdate{Kind: balancer.ListFailed})
 		}
 	}
 	if now >= v.tick {
-		v.tell(now, decide.TimerFired{})
+		v.tell(now, balancer.TimerFired{})
 	}
 	c, at, ok := v.w.Next(now)
 	if ok {
@@ -187,7 +187,7 @@
 func (b *byDue) Pop() any          { panic("nodes stay") }
 
 // play runs nodes until all know version 2, or until a time.
-func play(s decide.Settings, until time.Duration, nodes ...*virtual) {
+func play(s balancer.Settings, until time.Duration, nodes ...*virtual) {
 	b := byDue(slices.Clone(nodes))
 	heap.Init(&b)
 	for b[0].due < until {
@@ -199,8 +199,8 @@
 	}
 }
 
-func askSettings(asked bool, grace time.Duration) decide.Settings {
-	return decide.Settings{Nodes: 450, AskForList: asked, AskWithin: 10 * time.Second, DrainGrace: grace, MinTick: 5 * time.Millisecond}
+func askSettings(asked bool, grace time.Duration) balancer.Settings {
+	return balancer.Settings{Nodes: 450, AskForList: asked, AskWithin: 10 * time.Second, DrainGrace: grace, MinTick: 5 * time.Millisecond}
 }
 
 var graces = []time.Duration{400 * time.Millisecond, 600 * time.Millisecond, time.Second, 1500 * time.Millisecond, 4 * time.Second}
@@ -340,7 +340,7 @@
 }
 
 func ExamplePace() {
-	p := PaceOf(decide.Settings{AskForList: true, DrainGrace: time.Second})
+	p := PaceOf(balancer.Settings{AskForList: true, DrainGrace: time.Second})
 	fmt.Println(p.Hold, p.Late, p.List, p.Cadence)
 	// Output: 20s 2.3s 2s 2.5s
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 // enough bounds what a test waits for; a passing one takes far less.
@@ -146,7 +146,7 @@
 	lists, failures := make(chan List, 10), make(chan bool, 10)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	d := client(s, PaceOf(decide.Settings{AskForList: true}), lists)
+	d := client(s, PaceOf(balancer.Settings{AskForList: true}), lists)
 	d.Failed = func() { failures <- true }
 	d.watcher.index, d.watcher.known = 41, true
 	go d.Run(ctx)
@@ -169,7 +169,7 @@
 // longest wait behind it, leave a part of the drain grace for the next call.
 func TestPaceKeepsTheGrace(t *testing.T) {
 	for _, grace := range []time.Duration{0, 200 * time.Millisecond, 500 * time.Millisecond, time.Second, 4 * time.Second, time.Minute} {
-		p := PaceOf(decide.Settings{DrainGrace: grace})
+		p := PaceOf(balancer.Settings{DrainGrace: grace})
 		want := min(max(grace, leastGrace), 6*time.Second)
 		once := p.Hold + p.Late + p.First*3/2
 		twice := once + p.Poll + min(2*p.First*3/2, p.Cadence-p.Poll) + p.List
@@ -178,7 +178,7 @@
 			t.Errorf("grace %v: %+v learns of a drain after up to %v, %v or %v", grace, p, once, twice, polls)
 		}
 	}
-	if p := PaceOf(decide.Settings{AskForList: true, DrainGrace: time.Second}); p.Hold < 10*time.Second {
+	if p := PaceOf(balancer.Settings{AskForList: true, DrainGrace: time.Second}); p.Hold < 10*time.Second {
 		t.Errorf("lists that are asked for cost their service a call each %v", p.Hold)
 	}
 }
@@ -211,7 +211,7 @@
 	t.Cleanup(s.CloseClientConnections)
 	defer cancel()
 	lists := make(chan List, 10)
-	go client(s, PaceOf(decide.Settings{DrainGrace: grace}), lists).Run(ctx)
+	go client(s, PaceOf(balancer.Settings{DrainGrace: grace}), lists).Run(ctx)
 	if l := wait(t, lists, "the whole list"); l.Index != 7 {
 		t.Fatalf("%+v", l)
 	}
@@ -229,7 +229,7 @@
 // answer behind an Ask does not count.
 func TestWatcherOnAVirtualClock(t *testing.T) {
 	random := func() float64 { return 0.5 }
-	w := NewWatcher(PaceOf(decide.Settings{DrainGrace: time.Second}), random)
+	w := NewWatcher(PaceOf(balancer.Settings{DrainGrace: time.Second}), random)
 	now := time.Hour
 	c, _, ok := w.Next(now)
 	if !ok || !c.Whole || c.Query() != "" || c.Timeout <= 0 {
@@ -269,7 +269,7 @@
 		t.Error("the second failure of an outage is news")
 	}
 
-	w = NewWatcher(PaceOf(decide.Settings{AskForList: true, DrainGrace: time.Second}), random)
+	w = NewWatcher(PaceOf(balancer.Settings{AskForList: true, DrainGrace: time.Second}), random)
 	if _, at, ok := w.Next(now); ok || at != Never {
 		t.Error("a call that nobody asked for")
 	}
@@ -323,8 +323,8 @@
 	}
 	l := list(true, entryJSON("b", "127.0.0.1:2", "draining"), `{}`, entryJSON("a", "127.0.0.1:1", "ready"), entryJSON("c", "127.0.0.1:3", "ready"))
 	u, changes := d.Apply(l, l.Kind())
-	if u.Kind != decide.ListFull || u.Version != 5 || len(u.Entries) != 3 || len(changes) != 3 || changes[0].Name != "a" ||
-		changes[1].State != decide.Draining || changes[2].Address != "127.0.0.1:3" || changes[2].SinceMS != 7 {
+	if u.Kind != balancer.ListFull || u.Version != 5 || len(u.Entries) != 3 || len(changes) != 3 || changes[0].Name != "a" ||
+		changes[1].State != balancer.Draining || changes[2].Address != "127.0.0.1:3" || changes[2].SinceMS != 7 {
 		t.Fatalf("%+v\n%+v", u, changes)
 	}
 	for i, e := range u.Entries {
@@ -333,12 +333,12 @@
 		}
 	}
 	l = list(false, entryJSON("b", "127.0.0.1:4", "ready"))
-	if u, changes = d.Apply(l, l.Kind()); u.Kind != decide.ListChanges || len(changes) != 1 || d.Len() != 3 {
+	if u, changes = d.Apply(l, l.Kind()); u.Kind != balancer.ListChanges || len(changes) != 1 || d.Len() != 3 {
 		t.Errorf("%+v\n%+v", u, changes)
 	}
 	l = list(true, entryJSON("b", "127.0.0.1:4", "ready"))
 	if u, changes = d.Apply(l, l.Kind()); len(u.Entries) != 1 || len(changes) != 3 || changes[1].Name != "a" ||
-		changes[1].State != decide.Gone || changes[2].Name != "c" || fmt.Sprint(d.Names()) != "[b]" {
+		changes[1].State != balancer.Gone || changes[2].Name != "c" || fmt.Sprint(d.Names()) != "[b]" {
 		t.Errorf("%+v\n%+v", u, changes)
 	}
 	if _, ok := d.ID("a"); ok {
@@ -396,7 +396,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		lists := make(chan List)
 		var failures atomic.Int32
-		c := client(s, PaceOf(decide.Settings{AskForList: asked, DrainGrace: time.Second}), lists)
+		c := client(s, PaceOf(balancer.Settings{AskForList: asked, DrainGrace: time.Second}), lists)
 		c.Failed = func() {
 			failures.Add(1)
 			c.Ask(false, true)
@@ -417,7 +417,7 @@
 // 0. It is watched like any other, and not called for again and again.
 func TestVersionZeroIsAVersion(t *testing.T) {
 	for _, asked := range []bool{false, true} {
-		w := NewWatcher(PaceOf(decide.Settings{AskForList: asked, DrainGrace: time.Second}), func() float64 { return 0.5 })
+		w := NewWatcher(PaceOf(balancer.Settings{AskForList: asked, DrainGrace: time.Second}), func() float64 { return 0.5 })
 		now := time.Hour
 		w.Ask(now, true, true)
 		c, _, ok := w.Next(now)
@@ -451,7 +451,7 @@
 	defer s.CloseClientConnections()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p := PaceOf(decide.Settings{AskForList: true, DrainGrace: time.Second})
+	p := PaceOf(balancer.Settings{AskForList: true, DrainGrace: time.Second})
 	p.Hold = hold
 	lists := make(chan List, 10)
 	d := client(s, p, lists)
@@ -471,7 +471,7 @@
 // TestRefusedCallIsAWatchNext: behind an answer that refuses the next call is held, for a time within the 6 s, and the one
 // behind its answer for the usual time. Behind any other failure it is not held.
 func TestRefusedCallIsAWatchNext(t *testing.T) {
-	p := PaceOf(decide.Settings{AskForList: true, DrainGrace: time.Second})
+	p := PaceOf(balancer.Settings{AskForList: true, DrainGrace: time.Second})
 	for _, refused := range []bool{true, false} {
 		w := NewWatcher(p, func() float64 { return 0.5 })
 		now := time.Duration(0)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,6 +1,6 @@
 // Package discovery follows the list of servers. A Watcher decides when to
 // call, a Client makes the calls over HTTP, and a Directory turns the lists
-// into what package decide and the sockets need. Watcher and Directory are
+// into what package balancer and the sockets need. Watcher and Directory are
 // pure: many nodes can share a process and a clock of its own.
 package discovery
 
@@ -16,7 +16,7 @@
 	"strings"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 // List is a list of servers in discovery's form.
@@ -27,11 +27,11 @@
 }
 
 // Kind tells whether the list is whole or only holds changes.
-func (l List) Kind() decide.ListKind {
+func (l List) Kind() balancer.ListKind {
 	if l.Snapshot {
-		return decide.ListFull
+		return balancer.ListFull
 	}
-	return decide.ListChanges
+	return balancer.ListChanges
 }
 
 // Entry is one server of a list.
@@ -46,7 +46,7 @@
 	SinceMS int64   `json:"since_ms"` // last start, Unix time in ms; 0: long ago
 }
 
-var states = map[string]decide.ServerState{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
+var states = map[string]balancer.ServerState{"ready": balancer.Ready, "draining": balancer.Draining, "gone": balancer.Gone}
 
 // entries decodes those that can be used. A malformed one must not cost the
 // node the others, so it is logged and skipped.
@@ -75,7 +75,7 @@
 	if !ok {
 		return fmt.Errorf("unknown status %q", e.Status)
 	}
-	if _, _, err := net.SplitHostPort(e.Address); err != nil && state != decide.Gone {
+	if _, _, err := net.SplitHostPort(e.Address); err != nil && state != balancer.Gone {
 		return fmt.Errorf("address: %w", err)
 	}
 	if e.SinceMS < 0 || e.Weight < 0 {
@@ -87,8 +87,8 @@
 // ids gives servers their numbers: a hash of the name, so that every node and
 // every restart agrees on them. The zero value is empty.
 type ids struct {
-	byName map[string]decide.ServerID
-	byID   map[decide.ServerID]string
+	byName map[string]balancer.ServerID
+	byID   map[balancer.ServerID]string
 	hash   func(string) uint32 // nil: FNV-1a
 }
 
@@ -101,19 +101,19 @@
 // of finds the number of a name. Of two names with one hash the later listed
 // is hashed again: two servers under one number would share their load and
 // their drains.
-func (d *ids) of(name string) decide.ServerID {
+func (d *ids) of(name string) balancer.ServerID {
 	if id, ok := d.byName[name]; ok {
 		return id
 	}
 	if d.byName == nil {
-		d.byName, d.byID = map[string]decide.ServerID{}, map[decide.ServerID]string{}
+		d.byName, d.byID = map[string]balancer.ServerID{}, map[balancer.ServerID]string{}
 	}
 	hash := d.hash
 	if hash == nil {
 		hash = fnv1a
 	}
-	id := decide.ServerID(hash(name))
-	for salted := name; ; id = decide.ServerID(hash(salted)) {
+	id := balancer.ServerID(hash(name))
+	for salted := name; ; id = balancer.ServerID(hash(salted)) {
 		if _, taken := d.byID[id]; !taken {
 			break
 		}
@@ -134,36 +134,36 @@
 	Log *slog.Logger // of entries that are skipped; nil: none
 
 	ids    ids
-	listed map[string]decide.ServerID
+	listed map[string]balancer.ServerID
 }
 
 // Change is what a list says of one server's address.
 type Change struct {
-	ID      decide.ServerID
+	ID      balancer.ServerID
 	Name    string
 	Address string // host:port; empty once it is gone
 	SinceMS int64  // its last start, Unix time in ms; 0: long ago
-	State   decide.ServerState
+	State   balancer.ServerState
 }
 
 // Apply takes a list and gives what the module is to be told, and what the
 // sockets are. Servers that a whole list leaves out are gone: they stand last
 // among the changes, and their numbers are free from now on.
-func (d *Directory) Apply(l List, kind decide.ListKind) (decide.ListUpdate, []Change) {
+func (d *Directory) Apply(l List, kind balancer.ListKind) (balancer.ListUpdate, []Change) {
 	log := d.Log
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
 	if d.listed == nil {
-		d.listed = map[string]decide.ServerID{}
+		d.listed = map[string]balancer.ServerID{}
 	}
 	entries := l.entries(log)
 	// In one order whatever the list's, as the numbers of names that share a
 	// hash depend on it; of entries for one name the last holds.
 	slices.SortStableFunc(entries, func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
-	u := decide.ListUpdate{Kind: kind, Version: l.Index}
+	u := balancer.ListUpdate{Kind: kind, Version: l.Index}
 	missing := map[string]bool{}
-	if kind != decide.ListChanges {
+	if kind != balancer.ListChanges {
 		for name := range d.listed {
 			missing[name] = true
 		}
@@ -171,9 +171,9 @@
 	var changes []Change
 	for _, e := range entries {
 		id, state := d.ids.of(e.Name), states[e.Status]
-		u.Entries = append(u.Entries, decide.Server{ID: id, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: state,
+		u.Entries = append(u.Entries, balancer.Server{ID: id, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: state,
 			Size: e.Weight, StartedAt: time.Duration(e.SinceMS) * time.Millisecond})
-		if missing[e.Name] = state == decide.Gone; state != decide.Gone {
+		if missing[e.Name] = state == balancer.Gone; state != balancer.Gone {
 			d.listed[e.Name] = id
 			changes = append(changes, Change{ID: id, Name: e.Name, Address: e.Address, SinceMS: e.SinceMS, State: state})
 		}
@@ -181,7 +181,7 @@
 	stay := len(changes)
 	for name, gone := range missing {
 		if gone {
-			changes = append(changes, Change{ID: d.ids.of(name), Name: name, State: decide.Gone})
+			changes = append(changes, Change{ID: d.ids.of(name), Name: name, State: balancer.Gone})
 			d.ids.forget(name)
 			delete(d.listed, name)
 		}
@@ -194,7 +194,7 @@
 func (d *Directory) Len() int { return len(d.listed) }
 
 // ID gives the number of a listed server.
-func (d *Directory) ID(name string) (id decide.ServerID, listed bool) {
+func (d *Directory) ID(name string) (id balancer.ServerID, listed bool) {
 	id, listed = d.listed[name]
 	return id, listed
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 const (
@@ -61,9 +61,9 @@
 // told 6 s after discovery had it and could be reached, which AskCadence keeps;
 // calls are not held then until one has been answered, as the end of an outage
 // can't be seen by a call that hangs through it.
-func PaceOf(s decide.Settings) Pace {
+func PaceOf(s balancer.Settings) Pace {
 	if s.AskForList {
-		return Pace{Asked: true, Hold: holdAsked, Late: lateAsked, Beside: besideStep, Poll: turnAsked, List: turnAsked, Cadence: decide.AskCadence}
+		return Pace{Asked: true, Hold: holdAsked, Late: lateAsked, Beside: besideStep, Poll: turnAsked, List: turnAsked, Cadence: balancer.AskCadence}
 	}
 	grace := min(max(s.DrainGrace, leastGrace), mostGrace)
 	return Pace{Hold: grace / 4, Late: grace / 8, Poll: grace / 8, List: grace / 4, Cadence: grace * 5 / 16, First: min(firstWait, grace/24)}
--- a/internal/lab/arrivals/arrivals.go
+++ b/internal/lab/arrivals/arrivals.go
@@ -10,7 +10,7 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"indigotack/internal/lab/scenario"
+	"bankshift/internal/lab/scenario"
 )
 
 // Arrival is a client's request.
--- a/internal/lab/arrivals/arrivals_test.go
+++ b/internal/lab/arrivals/arrivals_test.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"indigotack/internal/lab/scenario"
+	"bankshift/internal/lab/scenario"
 )
 
 const text = `seed = 7
--- a/internal/lab/standin/gate.go
+++ b/internal/lab/emulator/gate.go
@@ -1,11 +1,11 @@
-// Package standin puts HTTP/1.1 in front of the models of package model, on
+// Package emulator puts HTTP/1.1 in front of the models of package model, on
 // loopback addresses and the wall clock, for nodes that are real processes.
 //
 // A Server is one server process and a Registry is discovery; hundreds of them
 // fit into one process of the operating system. What they do and when is the
 // models'; here are only the sockets: what a process that ends or a machine
 // that is lost looks like to TCP.
-package standin
+package emulator
 
 import (
 	"context"
@@ -47,7 +47,7 @@
 func (g *gate) listen(closed func(*conn)) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("standin: %w", err)
+		return fmt.Errorf("emulator: %w", err)
 	}
 	g.addr = ln.Addr().(*net.TCPAddr)
 	g.conns = map[*conn]struct{}{}
@@ -121,7 +121,7 @@
 	g.letGo()
 	ln, err := net.ListenTCP("tcp", g.addr)
 	if err != nil {
-		g.err = errors.Join(g.err, fmt.Errorf("standin: the port is gone: %w", err))
+		g.err = errors.Join(g.err, fmt.Errorf("emulator: the port is gone: %w", err))
 		return
 	}
 	g.serve(ln)
@@ -196,7 +196,7 @@
 	}
 	fail := func(call string, err error) (func(), error) {
 		release()
-		return nil, fmt.Errorf("standin: holding %v: %w", addr, os.NewSyscallError(call, err))
+		return nil, fmt.Errorf("emulator: holding %v: %w", addr, os.NewSyscallError(call, err))
 	}
 	to := &syscall.SockaddrInet4{Port: addr.Port, Addr: [4]byte(addr.IP.To4())}
 	fd, err := socket()
--- a/internal/lab/standin/ledger.go
+++ b/internal/lab/emulator/ledger.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"net/http"
--- a/internal/lab/standin/registry.go
+++ b/internal/lab/emulator/registry.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/lab/model"
+	"bankshift/internal/lab/model"
 )
 
 const listPath = "/registry/instances"
--- a/internal/lab/standin/server.go
+++ b/internal/lab/emulator/server.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/lab/model"
+	"bankshift/internal/lab/model"
 )
 
 // Headers by which the load generator tells a server what a request is. A node
@@ -79,7 +79,7 @@
 		cfg.Epoch = time.Now()
 	}
 	if cfg.Body > maxBody {
-		return nil, fmt.Errorf("standin: answers of %d bytes, at most %d can be", cfg.Body, maxBody)
+		return nil, fmt.Errorf("emulator: answers of %d bytes, at most %d can be", cfg.Body, maxBody)
 	}
 	s := &Server{cfg: cfg, done: make(chan struct{}), up: true, waiting: map[uint64]*request{}}
 	mc := cfg.ServerConfig
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/emulator/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/model"
+	"bankshift/internal/lab/model"
 )
 
 const (
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -20,11 +20,11 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/lab/load"
-	"indigotack/internal/lab/model"
-	"indigotack/internal/lab/result"
-	"indigotack/internal/lab/scenario"
-	"indigotack/internal/lab/standin"
+	"bankshift/internal/lab/emulator"
+	"bankshift/internal/lab/load"
+	"bankshift/internal/lab/model"
+	"bankshift/internal/lab/result"
+	"bankshift/internal/lab/scenario"
 )
 
 // What one machine is asked to bear: a few dozen nodes of some 25 MB, and a
@@ -57,7 +57,7 @@
 	epoch     time.Time
 	t0        time.Time // of the traffic
 	meanCost  time.Duration
-	registry  *standin.Registry
+	registry  *emulator.Registry
 	steps     sync.WaitGroup
 
 	mu        sync.Mutex
@@ -67,7 +67,7 @@
 	servers   []*server // all there ever were
 	places    []*server // who is there now
 	keys      map[string]*model.Keys
-	ledgers   map[string]*standin.Ledger // by zone
+	ledgers   map[string]*emulator.Ledger // by zone
 	versions  int
 	successor int
 	events    []string
@@ -120,7 +120,7 @@
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
 	m := &run{s: s, ctx: ctx, path: o.Node, dir: dir, epoch: time.Now(), keys: map[string]*model.Keys{},
-		ledgers: map[string]*standin.Ledger{}}
+		ledgers: map[string]*emulator.Ledger{}}
 	if m.path == "" {
 		if m.path, err = Build(ctx, dir); err != nil {
 			cancel()
@@ -161,7 +161,7 @@
 	}
 	report, err := load.Play(ctx, load.Config{Route: m.route, Connections: s.Traffic.Connections, Retries: s.Traffic.Retries,
 		Backoff: s.Traffic.Backoff.Std(), MarkRetries: true, Slack: answerSlack, LateBound: time.Duration(latePart * float64(aim)),
-		ServerTime: standin.HeldHeader, Done: x.done}, stream)
+		ServerTime: emulator.HeldHeader, Done: x.done}, stream)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -182,7 +182,7 @@
 	}
 	m.meanCost = time.Duration(cost / parts * float64(time.Second))
 	var err error
-	if m.registry, err = standin.NewRegistry(standin.RegistryConfig{Epoch: m.epoch, Rand: m.rand(3 << 32),
+	if m.registry, err = emulator.NewRegistry(emulator.RegistryConfig{Epoch: m.epoch, Rand: m.rand(3 << 32),
 		RegistryConfig: model.RegistryConfig{Nodes: s.Fleet.Nodes, Asked: s.Disco.Asked, Delay: s.Disco.Delay.Std(),
 			Spread: s.Disco.Spread.Std(), Answer: s.Disco.Answer.Std()}}); err != nil {
 		return err
@@ -421,9 +421,9 @@
 }
 
 // ledger is that of a zone's servers.
-func (m *run) ledger(zone string) *standin.Ledger {
+func (m *run) ledger(zone string) *emulator.Ledger {
 	if m.ledgers[zone] == nil {
-		m.ledgers[zone] = &standin.Ledger{}
+		m.ledgers[zone] = &emulator.Ledger{}
 	}
 	return m.ledgers[zone]
 }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/scenario"
+	"bankshift/internal/lab/scenario"
 )
 
 // node is the program, built once.
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/lab/arrivals"
-	"indigotack/internal/lab/load"
-	"indigotack/internal/lab/result"
-	"indigotack/internal/lab/scenario"
-	"indigotack/internal/lab/standin"
+	"bankshift/internal/lab/arrivals"
+	"bankshift/internal/lab/emulator"
+	"bankshift/internal/lab/load"
+	"bankshift/internal/lab/result"
+	"bankshift/internal/lab/scenario"
 )
 
 // controlBytes is what a node may use for control, in bytes a second, by the
@@ -21,8 +21,8 @@
 
 // snapshot is what has been counted by a time.
 type snapshot struct {
-	lists        []standin.RegistryStats // by node
-	cpu          time.Duration           // of all nodes
+	lists        []emulator.RegistryStats // by node
+	cpu          time.Duration            // of all nodes
 	work, wasted time.Duration
 	falls        int
 	versions     int
@@ -68,11 +68,11 @@
 		c := m.s.Classes[a.Class]
 		r := load.Request{At: a.At, Node: a.Node, ID: fmt.Sprintf("%016x", a.Number), Class: c.Name, Effect: effects[c.Effect],
 			Subject: strconv.Itoa(a.Key), Deadline: c.Deadline.Std(), Repeat: c.Effect == "safe" || c.Effect == "keyed" && c.Scope == "all",
-			Header: [][2]string{{standin.WorkHeader, strconv.FormatInt(max(1, a.Work.Microseconds()), 10)}}}
+			Header: [][2]string{{emulator.WorkHeader, strconv.FormatInt(max(1, a.Work.Microseconds()), 10)}}}
 		if c.Effect == "keyed" {
 			r.Key = fmt.Sprintf("%032x", a.Number)
-			r.Header = append(r.Header, [2]string{standin.ScopeHeader, c.Scope},
-				[2]string{standin.WindowHeader, strconv.FormatInt(c.Window.Std().Milliseconds(), 10)})
+			r.Header = append(r.Header, [2]string{emulator.ScopeHeader, c.Scope},
+				[2]string{emulator.WindowHeader, strconv.FormatInt(c.Window.Std().Milliseconds(), 10)})
 		}
 		inside := false
 		if a.Tenant >= 0 {
--- a/internal/lab/fleet/servers.go
+++ b/internal/lab/fleet/servers.go
@@ -5,15 +5,15 @@
 	"math/rand/v2"
 	"time"
 
-	"indigotack/internal/lab/model"
-	"indigotack/internal/lab/scenario"
-	"indigotack/internal/lab/standin"
+	"bankshift/internal/lab/emulator"
+	"bankshift/internal/lab/model"
+	"bankshift/internal/lab/scenario"
 )
 
 // server is one stand-in backend and its place in the list.
 type server struct {
 	who    scenario.Server
-	at     *standin.Server
+	at     *emulator.Server
 	entry  model.Entry // of run.mu
 	starts int         // that are listed; of run.mu
 }
@@ -24,7 +24,7 @@
 func (m *run) newServer(i int) (*server, error) {
 	c, who := m.s.Servers, m.s.Server(i)
 	m.mu.Lock()
-	cfg := standin.ServerConfig{Epoch: m.epoch, Rand: m.rand(4<<32 + uint64(i)), Ledger: m.ledger(who.Zone),
+	cfg := emulator.ServerConfig{Epoch: m.epoch, Rand: m.rand(4<<32 + uint64(i)), Ledger: m.ledger(who.Zone),
 		ServerConfig: model.ServerConfig{Cores: who.Kind.Cores, Speed: who.Kind.Speed, Queue: c.Queue, Connections: c.Connections,
 			Handshake: c.Handshake.Std(), IdleClose: c.IdleClose.Std(), ColdFrom: c.ColdFrom, ColdTime: c.ColdTime.Std(),
 			FallFactor: c.FallFactor, FallTime: c.FallTime.Std(), FallRest: c.FallRest.Std(), MeanCost: m.meanCost,
@@ -34,7 +34,7 @@
 			model.ScopeCell: m.keysOf(fmt.Sprint("cell ", who.Cell))}
 	}
 	m.mu.Unlock()
-	at, err := standin.NewServer(cfg)
+	at, err := emulator.NewServer(cfg)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/hollow/client.go
+++ b/internal/lab/hollow/client.go
@@ -7,9 +7,9 @@
 	"strconv"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/lab/arrivals"
-	"indigotack/internal/node"
+	"bankshift/balancer"
+	"bankshift/internal/lab/arrivals"
+	"bankshift/internal/node"
 )
 
 // outcome is how a try ended for its client.
@@ -72,13 +72,13 @@
 	if t := c.arrival.Tenant; t >= 0 {
 		tenant = m.tenants[t]
 	}
-	r := &request{id: decide.RequestID(strconv.Itoa(c.arrival.Number) + "." + strconv.Itoa(c.tries)), client: c, class: c.class,
+	r := &request{id: balancer.RequestID(strconv.Itoa(c.arrival.Number) + "." + strconv.Itoa(c.tries)), client: c, class: c.class,
 		limit: c.deadline, deadline: c.deadline - node.AnswerMargin}
 	if r.deadline <= m.now {
 		c.ended(failed, 0)
 		return
 	}
-	n.open(r, decide.RequestArrived{ID: r.id, Class: c.class.Name, Tenant: tenant, Key: strconv.Itoa(c.arrival.Key), Repeat: c.tries > 1})
+	n.open(r, balancer.RequestArrived{ID: r.id, Class: c.class.Name, Tenant: tenant, Key: strconv.Itoa(c.arrival.Key), Repeat: c.tries > 1})
 }
 
 // another finds a node of a zone that takes requests, or one of any zone; nil:
@@ -133,6 +133,6 @@
 }
 
 // inOrder gives requests in one order.
-func (m *sim) inOrder(requests map[decide.RequestID]*request) []*request {
+func (m *sim) inOrder(requests map[balancer.RequestID]*request) []*request {
 	return slices.SortedFunc(maps.Values(requests), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
 }
--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -4,7 +4,7 @@
 // A hollow node runs the project's own code: node.ParseConfig on the
 // configuration that the scenario gives a real node, discovery.Watcher and
 // discovery.Directory on the bytes of model.Registry's lists, and
-// decide.Module. It feeds the module the same events in the same manner as the
+// balancer.Module. It feeds the module the same events in the same manner as the
 // loop of package node, and carries its actions out.
 //
 // Left out is the request path's own work: sockets, HTTP parsing and writing,
@@ -35,12 +35,12 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/discovery"
-	"indigotack/internal/lab/arrivals"
-	"indigotack/internal/lab/model"
-	"indigotack/internal/lab/result"
-	"indigotack/internal/lab/scenario"
-	"indigotack/internal/node"
+	"bankshift/internal/discovery"
+	"bankshift/internal/lab/arrivals"
+	"bankshift/internal/lab/model"
+	"bankshift/internal/lab/result"
+	"bankshift/internal/lab/scenario"
+	"bankshift/internal/node"
 )
 
 const (
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/lab/model"
-	"indigotack/internal/lab/result"
-	"indigotack/internal/lab/scenario"
+	"bankshift/balancer"
+	"bankshift/internal/lab/model"
+	"bankshift/internal/lab/result"
+	"bankshift/internal/lab/scenario"
 )
 
 // base is a small fleet with room: 12 servers of 2 cores before 4 nodes.
@@ -245,7 +245,7 @@
 		}, "its key is known for"},
 		{"refusal", "order", func(m *sim, n *hnode, r *request) {
 			send(m, n, r, 0)
-			n.act(decide.Refuse{ID: r.id})
+			n.act(balancer.Refuse{ID: r.id})
 		}, "is refused"},
 		{"drain", "read", func(m *sim, n *hnode, r *request) {
 			m.status(m.places[0], "draining")
@@ -260,7 +260,7 @@
 		}, "told as draining"},
 		{"late", "read", func(m *sim, n *hnode, r *request) {
 			r.limit = m.now - time.Second
-			n.act(decide.Fail{ID: r.id})
+			n.act(balancer.Fail{ID: r.id})
 		}, "late"},
 		{"never", "read", func(m *sim, n *hnode, r *request) { r.done = true }, "got no answer"},
 		{"cold", "read", func(m *sim, n *hnode, r *request) {
@@ -305,7 +305,7 @@
 // send has the node send to the i-th of its servers, as if the module had said so.
 func send(m *sim, n *hnode, r *request, i int) {
 	id, _ := n.servers.ID(m.places[i].Name)
-	n.act(decide.Send{ID: r.id, Server: id})
+	n.act(balancer.Send{ID: r.id, Server: id})
 	m.run(context.Background(), m.now)
 }
 
--- a/internal/lab/hollow/measure.go
+++ b/internal/lab/hollow/measure.go
@@ -5,13 +5,13 @@
 	"math"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/lab/model"
-	"indigotack/internal/lab/result"
+	"bankshift/balancer"
+	"bankshift/internal/lab/model"
+	"bankshift/internal/lab/result"
 )
 
 const (
-	furtherPart   = 0.1  // further attempts for each arrival: the retry budget of package decide
+	furtherPart   = 0.1  // further attempts for each arrival: the retry budget of package balancer
 	nodeListBytes = 3000 // of list traffic a second, by the operators' plan
 	mostBroken    = 20   // broken rules that are told one by one
 	socketSlack   = 50 * time.Millisecond
@@ -198,7 +198,7 @@
 
 // mayRun: an attempt that is out, or has ended without proof that it never ran.
 func mayRun(a *attempt) bool {
-	return a.state != over || a.code != decide.Full && a.code != decide.ConnectFailed && a.code != decide.Moot
+	return a.state != over || a.code != balancer.Full && a.code != balancer.ConnectFailed && a.code != balancer.Moot
 }
 
 // judgeSend holds a send to the rules, given the request's earlier attempts.
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/discovery"
-	"indigotack/internal/lab/model"
-	"indigotack/internal/node"
+	"bankshift/balancer"
+	"bankshift/internal/discovery"
+	"bankshift/internal/lab/model"
+	"bankshift/internal/node"
 )
 
 const (
@@ -25,11 +25,11 @@
 	life     int // how often it had started before
 	zone     int
 	cfg      node.Config
-	module   *decide.Module
+	module   *balancer.Module
 	servers  discovery.Directory
 	watcher  *discovery.Watcher
-	requests map[decide.RequestID]*request
-	queue    []decide.Event // that came of actions, to be handled next
+	requests map[balancer.RequestID]*request
+	queue    []balancer.Event // that came of actions, to be handled next
 	pool     pool
 
 	born    time.Duration
@@ -55,7 +55,7 @@
 
 // request is a client's try until it is answered and its attempts have ended.
 type request struct {
-	id       decide.RequestID
+	id       balancer.RequestID
 	client   *client
 	class    *class
 	deadline time.Duration // for the node
@@ -68,7 +68,7 @@
 
 func newHollow(m *sim, i, life int, cfg node.Config) *hnode {
 	n := &hnode{m: m, index: i, life: life, zone: m.zoneOf[cfg.Settings.Zone], cfg: cfg, pollAt: discovery.Never,
-		module: decide.New(cfg.Settings, cfg.Seed), requests: map[decide.RequestID]*request{}}
+		module: balancer.New(cfg.Settings, cfg.Seed), requests: map[balancer.RequestID]*request{}}
 	n.watcher = discovery.NewWatcher(discovery.PaceOf(cfg.Settings),
 		rand.New(rand.NewPCG(uint64(cfg.Seed), 1)).Float64)
 	_, most := cfg.Connections()
@@ -82,17 +82,17 @@
 	if n.dead {
 		return
 	}
-	n.follow(n.cfg.Known, decide.ListCached)
+	n.follow(n.cfg.Known, balancer.ListCached)
 	n.cfg.Known = discovery.List{}
 	n.pool.expireLater()
 	n.poll()
 }
 
 // clock is the module's: the machine's wall clock.
-func (n *hnode) clock() decide.Time { return epoch + n.m.now }
+func (n *hnode) clock() balancer.Time { return epoch + n.m.now }
 
 // handle tells the module of an event and carries out what it decides, in order.
-func (n *hnode) handle(e decide.Event) {
+func (n *hnode) handle(e balancer.Event) {
 	n.queue = append(n.queue, e)
 	if len(n.queue) > 1 {
 		return // the call further up gets to it
@@ -107,7 +107,7 @@
 }
 
 // decide has the module handle an event, and takes the time of it.
-func (n *hnode) decide(e decide.Event) []decide.Action {
+func (n *hnode) decide(e balancer.Event) []balancer.Action {
 	began := time.Now()
 	actions := n.module.Handle(n.clock(), e)
 	n.m.moduleTime += time.Since(began)
@@ -115,31 +115,31 @@
 	return actions
 }
 
-func (n *hnode) act(a decide.Action) {
+func (n *hnode) act(a balancer.Action) {
 	m := n.m
 	switch a := a.(type) {
-	case decide.Send:
+	case balancer.Send:
 		n.send(a)
-	case decide.Refuse:
+	case balancer.Refuse:
 		if r := n.requests[a.ID]; r != nil && !r.done {
 			m.judgeRefusal(r)
 		}
 		n.finish(a.ID, refused, a.HoldOff)
-	case decide.Fail:
+	case balancer.Fail:
 		n.finish(a.ID, failed, 0)
-	case decide.CancelAttempt:
+	case balancer.CancelAttempt:
 		if r := n.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
 			n.later(m.now, r.attempts[a.Attempt].cancel)
 		}
-	case decide.SetTimer:
-		n.later(m.now+a.After, func() { n.handle(decide.TimerFired{Token: a.Token}) })
-	case decide.CloseIdle:
+	case balancer.SetTimer:
+		n.later(m.now+a.After, func() { n.handle(balancer.TimerFired{Token: a.Token}) })
+	case balancer.CloseIdle:
 		n.pool.closeIdle(a.Server)
-	case decide.Subscribe:
+	case balancer.Subscribe:
 		n.ask(false, a.On)
-	case decide.FetchList:
+	case balancer.FetchList:
 		n.ask(true, n.cfg.Settings.AskForList)
-	case decide.Log:
+	case balancer.Log:
 		if strings.Contains(a.Line, "suspect") {
 			m.second().suspects++
 		}
@@ -158,7 +158,7 @@
 }
 
 // open takes a client's try.
-func (n *hnode) open(r *request, e decide.RequestArrived) {
+func (n *hnode) open(r *request, e balancer.RequestArrived) {
 	m := n.m
 	r.arrived = m.now
 	if most := n.cfg.Settings.MaxOpen; most > 0 && len(n.requests) >= most {
@@ -187,13 +187,13 @@
 		for _, a := range r.attempts {
 			n.later(m.now, a.cancel)
 		}
-		n.handle(decide.RequestAbandoned{ID: r.id})
+		n.handle(balancer.RequestAbandoned{ID: r.id})
 	})
 }
 
 // finish gives a try its final answer. All answers pass here, and only the
 // first goes on.
-func (n *hnode) finish(id decide.RequestID, o outcome, holdOff time.Duration) {
+func (n *hnode) finish(id balancer.RequestID, o outcome, holdOff time.Duration) {
 	r := n.requests[id]
 	if r == nil || r.done {
 		return
@@ -215,7 +215,7 @@
 	}
 }
 
-func (n *hnode) send(s decide.Send) {
+func (n *hnode) send(s balancer.Send) {
 	m := n.m
 	r := n.requests[s.ID]
 	if r == nil {
@@ -231,10 +231,10 @@
 		a.openEnd = m.now + s.Within
 	}
 	if r.done || r.running > 0 && !n.cfg.Settings.MayOverlap {
-		a.state, a.code = over, decide.Moot
+		a.state, a.code = over, balancer.Moot
 		m.judgeSend(a, r.attempts)
 		r.attempts = append(r.attempts, a)
-		n.queue = append(n.queue, decide.AttemptEnded{ID: r.id, Attempt: a.number, Server: s.Server, Over: r.done, Code: decide.Moot})
+		n.queue = append(n.queue, balancer.AttemptEnded{ID: r.id, Attempt: a.number, Server: s.Server, Over: r.done, Code: balancer.Moot})
 		return
 	}
 	m.judgeSend(a, r.attempts)
@@ -248,27 +248,27 @@
 func (n *hnode) ended(a *attempt) {
 	r := a.r
 	r.running--
-	if a.code == decide.OK {
+	if a.code == balancer.OK {
 		if !r.done {
 			n.m.served(a)
 		}
 		n.finish(r.id, served, 0)
 	}
-	n.handle(decide.AttemptEnded{ID: r.id, Attempt: a.number, Server: a.id, Over: r.done, Elapsed: n.m.now - a.sent, Code: a.code})
+	n.handle(balancer.AttemptEnded{ID: r.id, Attempt: a.number, Server: a.id, Over: r.done, Elapsed: n.m.now - a.sent, Code: a.code})
 	n.forget(r)
 }
 
 // follow takes a list: what the pool needs, the rest for the module.
-func (n *hnode) follow(l discovery.List, kind decide.ListKind) {
+func (n *hnode) follow(l discovery.List, kind balancer.ListKind) {
 	u, changes := n.servers.Apply(l, kind)
 	for _, c := range changes {
-		if c.State != decide.Gone {
-			n.pool.set(c.ID, n.m.byName[c.Name], c.SinceMS, c.State != decide.Ready)
+		if c.State != balancer.Gone {
+			n.pool.set(c.ID, n.m.byName[c.Name], c.SinceMS, c.State != balancer.Ready)
 		}
 	}
 	n.handle(u)
 	for _, c := range changes {
-		if c.State == decide.Gone {
+		if c.State == balancer.Gone {
 			n.pool.remove(c.ID)
 		}
 	}
@@ -356,7 +356,7 @@
 
 func (n *hnode) callFailed(call discovery.Call) {
 	if n.watcher.Failed(n.m.now, call) && n.cfg.Settings.AskForList {
-		n.handle(decide.ListUpdate{Kind: decide.ListFailed})
+		n.handle(balancer.ListUpdate{Kind: balancer.ListFailed})
 	}
 	if n.callID == 0 {
 		n.poll()
--- a/internal/lab/hollow/pool.go
+++ b/internal/lab/hollow/pool.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/lab/model"
-	"indigotack/internal/node"
+	"bankshift/balancer"
+	"bankshift/internal/lab/model"
+	"bankshift/internal/node"
 )
 
 // pool does with connections what the pool of internal/node/backend.go does.
@@ -15,7 +15,7 @@
 	open     int // connections, idle, in use or being dialled
 	most     int
 	maxIdle  time.Duration
-	backends map[decide.ServerID]*backend
+	backends map[balancer.ServerID]*backend
 	used     []*backend // that have had connections, in the order of their first
 }
 
@@ -42,13 +42,13 @@
 }
 
 func (p *pool) init(n *hnode, most int) {
-	*p = pool{n: n, most: most, backends: map[decide.ServerID]*backend{}, maxIdle: time.Minute}
+	*p = pool{n: n, most: most, backends: map[balancer.ServerID]*backend{}, maxIdle: time.Minute}
 	if idle := n.cfg.Settings.ConnIdle; idle > 0 {
 		p.maxIdle = time.Duration(node.IdlePart * float64(idle))
 	}
 }
 
-func (p *pool) set(id decide.ServerID, sv *server, since int64, leaving bool) {
+func (p *pool) set(id balancer.ServerID, sv *server, since int64, leaving bool) {
 	if b := p.backends[id]; b != nil {
 		if b.since == since {
 			b.leaving = leaving
@@ -60,7 +60,7 @@
 	p.backends[id] = &backend{server: sv, since: since, leaving: leaving}
 }
 
-func (p *pool) remove(id decide.ServerID) {
+func (p *pool) remove(id balancer.ServerID) {
 	if b := p.backends[id]; b != nil {
 		b.closed = true
 		p.drop(b)
@@ -68,7 +68,7 @@
 	}
 }
 
-func (p *pool) closeIdle(id decide.ServerID) {
+func (p *pool) closeIdle(id balancer.ServerID) {
 	if b := p.backends[id]; b != nil {
 		p.drop(b)
 	}
@@ -204,12 +204,12 @@
 	n       *hnode
 	r       *request
 	number  int
-	id      decide.ServerID
+	id      balancer.ServerID
 	backend *backend
 	conn    *conn
 	dials   bool // counted among the connections without having one yet
 	state   int
-	code    decide.OutcomeCode
+	code    balancer.OutcomeCode
 
 	sent    time.Duration // the module's Send
 	end     time.Duration // its time-out
@@ -234,7 +234,7 @@
 	}
 	b := n.pool.backends[a.id]
 	if b == nil {
-		a.finish(decide.Moot)
+		a.finish(balancer.Moot)
 		return
 	}
 	a.backend = b
@@ -243,7 +243,7 @@
 		return
 	}
 	if n.pool.open >= n.pool.most && !n.pool.evict() {
-		a.finish(decide.Moot)
+		a.finish(balancer.Moot)
 		return
 	}
 	a.dials = true
@@ -254,7 +254,7 @@
 	}
 	n.later(m.now+n.cfg.Settings.ConnectTimeout, func() {
 		if a.dialling() {
-			a.finish(decide.ConnectFailed)
+			a.finish(balancer.ConnectFailed)
 		}
 	})
 	sv := b.server
@@ -281,7 +281,7 @@
 	case model.Refused:
 		n.later(back, func() {
 			if a.dialling() && m.reach(n.zone, sv.zone) {
-				a.finish(decide.ConnectFailed)
+				a.finish(balancer.ConnectFailed)
 			}
 		})
 		return
@@ -309,7 +309,7 @@
 		a.conn = nil
 		c.release()
 		a.state = over
-		a.report(decide.Moot)
+		a.report(balancer.Moot)
 		return
 	}
 	a.state, a.wrote = waiting, m.now
@@ -365,13 +365,13 @@
 		}
 		switch reply.Ending {
 		case model.Served:
-			a.finish(decide.OK)
+			a.finish(balancer.OK)
 		case model.Full:
-			a.finish(decide.Full)
+			a.finish(balancer.Full)
 		case model.Failed:
-			a.finish(decide.ServerError)
+			a.finish(balancer.ServerError)
 		default:
-			a.finish(decide.Reset)
+			a.finish(balancer.Reset)
 		}
 	})
 }
@@ -380,16 +380,16 @@
 func (a *attempt) expire() {
 	switch {
 	case a.dialling():
-		a.finish(decide.Moot)
+		a.finish(balancer.Moot)
 	case a.state == waiting:
-		a.finish(decide.TimedOut)
+		a.finish(balancer.TimedOut)
 	}
 }
 
 // moot ends an attempt that has not been sent.
 func (a *attempt) moot() {
 	if a.dialling() {
-		a.finish(decide.Moot)
+		a.finish(balancer.Moot)
 	}
 }
 
@@ -397,20 +397,20 @@
 func (a *attempt) cancel() {
 	switch {
 	case a.dialling():
-		a.finish(decide.Moot)
+		a.finish(balancer.Moot)
 	case a.state == waiting:
-		a.finish(decide.Cancelled)
+		a.finish(balancer.Cancelled)
 	}
 }
 
 // finish ends the attempt, once, and its hold on a connection.
-func (a *attempt) finish(code decide.OutcomeCode) {
+func (a *attempt) finish(code balancer.OutcomeCode) {
 	if a.state == over {
 		return
 	}
 	a.state = over
 	switch {
-	case a.conn != nil && (code == decide.OK || code == decide.Full || code == decide.ServerError):
+	case a.conn != nil && (code == balancer.OK || code == balancer.Full || code == balancer.ServerError):
 		a.conn.release()
 	case a.conn != nil:
 		a.conn.discard()
@@ -421,7 +421,7 @@
 }
 
 // report tells the node.
-func (a *attempt) report(code decide.OutcomeCode) {
+func (a *attempt) report(code balancer.OutcomeCode) {
 	a.code = code
 	a.n.later(a.n.m.now, func() { a.n.ended(a) })
 }
--- a/internal/lab/hollow/scenarios_test.go
+++ b/internal/lab/hollow/scenarios_test.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"testing"
 
-	"indigotack/internal/lab/scenario"
+	"bankshift/internal/lab/scenario"
 )
 
 // TestScenarioFiles: all can be read, and the one for every change holds.
--- a/internal/lab/hollow/server.go
+++ b/internal/lab/hollow/server.go
@@ -7,9 +7,9 @@
 	"math/rand/v2"
 	"time"
 
-	"indigotack/internal/discovery"
-	"indigotack/internal/lab/model"
-	"indigotack/internal/lab/scenario"
+	"bankshift/internal/discovery"
+	"bankshift/internal/lab/model"
+	"bankshift/internal/lab/scenario"
 )
 
 // server is one backend and its place in the list.
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -1,7 +1,7 @@
 // Package model holds the stand-ins for what a node talks to: servers and
 // discovery. They are pure: no I/O, clock, goroutine or global randomness, so
 // that one code serves hollow runs on a virtual clock and real ones, where
-// package standin puts HTTP in front of them.
+// package emulator puts HTTP in front of them.
 //
 // A model is a state machine in time. Its caller tells it what happens with
 // the time of it, never going back, and takes what comes of it from Advance
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -15,7 +15,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"indigotack/internal/lab/scenario"
+	"bankshift/internal/lab/scenario"
 )
 
 // The kinds of a run.
--- a/internal/lab/result/result_test.go
+++ b/internal/lab/result/result_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/scenario"
+	"bankshift/internal/lab/scenario"
 )
 
 func TestHistogram(t *testing.T) {
--- a/internal/lab/slopes/bench.go
+++ b/internal/lab/scaling/bench.go
@@ -1,4 +1,4 @@
-package slopes
+package scaling
 
 import (
 	"context"
@@ -8,12 +8,12 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/discovery"
-	"indigotack/internal/lab/hollow"
-	"indigotack/internal/lab/model"
-	"indigotack/internal/lab/scenario"
-	"indigotack/internal/node"
+	"bankshift/balancer"
+	"bankshift/internal/discovery"
+	"bankshift/internal/lab/hollow"
+	"bankshift/internal/lab/model"
+	"bankshift/internal/lab/scenario"
+	"bankshift/internal/node"
 )
 
 // bench gives the time of one f, in seconds.
@@ -102,11 +102,11 @@
 
 // world is a module with its list and some traffic behind it.
 type world struct {
-	m       *decide.Module
-	now     decide.Time
-	servers []decide.Server
+	m       *balancer.Module
+	now     balancer.Time
+	servers []balancer.Server
 	entries []model.Entry
-	classes []decide.Class
+	classes []balancer.Class
 	dir     *discovery.Directory
 	version uint64
 	next    int
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &world{m: decide.New(cfg.Settings, 1), now: time.Hour, entries: entries(planned(max(1, servers/10), servers)),
+	w := &world{m: balancer.New(cfg.Settings, 1), now: time.Hour, entries: entries(planned(max(1, servers/10), servers)),
 		classes: cfg.Settings.Classes, dir: &discovery.Directory{}}
 	u, err := w.decode(listJSON(1, w.entries))
 	if err != nil {
@@ -141,10 +141,10 @@
 	return w, nil
 }
 
-func (w *world) decode(raw []byte) (decide.ListUpdate, error) {
+func (w *world) decode(raw []byte) (balancer.ListUpdate, error) {
 	var l discovery.List
 	if err := json.Unmarshal(raw, &l); err != nil {
-		return decide.ListUpdate{}, err
+		return balancer.ListUpdate{}, err
 	}
 	u, _ := w.dir.Apply(l, l.Kind())
 	return u, nil
@@ -152,17 +152,17 @@
 
 func (w *world) tick() {
 	w.now += 25 * time.Millisecond
-	w.m.Handle(w.now, decide.TimerFired{})
+	w.m.Handle(w.now, balancer.TimerFired{})
 }
 
 // request has one arrive and be served.
 func (w *world) request() {
 	w.next++
 	w.now += arrivalGap
-	id := decide.RequestID(fmt.Sprintf("%016x", w.next))
-	for _, a := range w.m.Handle(w.now, decide.RequestArrived{ID: id, Class: w.classes[w.next%len(w.classes)].Name, Patience: time.Second}) {
-		if send, ok := a.(decide.Send); ok {
-			w.m.Handle(w.now+5*time.Millisecond, decide.AttemptEnded{ID: id, Server: send.Server, Over: true, Elapsed: 5 * time.Millisecond, Code: decide.OK})
+	id := balancer.RequestID(fmt.Sprintf("%016x", w.next))
+	for _, a := range w.m.Handle(w.now, balancer.RequestArrived{ID: id, Class: w.classes[w.next%len(w.classes)].Name, Patience: time.Second}) {
+		if send, ok := a.(balancer.Send); ok {
+			w.m.Handle(w.now+5*time.Millisecond, balancer.AttemptEnded{ID: id, Server: send.Server, Over: true, Elapsed: 5 * time.Millisecond, Code: balancer.OK})
 		}
 	}
 }
@@ -204,7 +204,7 @@
 				s := w.servers[i*7919%len(w.servers)]
 				s.Size = 1 + 0.01*float64(i%10)
 				w.version++
-				w.m.Handle(w.now, decide.ListUpdate{Kind: decide.ListChanges, Version: 1 + w.version, Entries: []decide.Server{s}})
+				w.m.Handle(w.now, balancer.ListUpdate{Kind: balancer.ListChanges, Version: 1 + w.version, Entries: []balancer.Server{s}})
 			}},
 		} {
 			t, err := e.bench(b.do)
--- a/internal/lab/slopes/real.go
+++ b/internal/lab/scaling/real.go
@@ -1,4 +1,4 @@
-package slopes
+package scaling
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"syscall"
 	"time"
 
-	"indigotack/internal/lab/fleet"
-	"indigotack/internal/lab/model"
-	"indigotack/internal/lab/scenario"
-	"indigotack/internal/lab/standin"
+	"bankshift/internal/lab/emulator"
+	"bankshift/internal/lab/fleet"
+	"bankshift/internal/lab/model"
+	"bankshift/internal/lab/scenario"
 )
 
 // nodeThreads is GOMAXPROCS of the real nodes: on the platform a node sees the
@@ -138,7 +138,7 @@
 // standing is a node with a discovery.
 type standing struct {
 	*fleet.Process
-	registries [2]*standin.Registry // the second only where it is asked for
+	registries [2]*emulator.Registry // the second only where it is asked for
 	entries    []model.Entry
 	file       string
 	config     func(discovery string) ([]byte, error)
@@ -166,7 +166,7 @@
 		}
 	}()
 	for i := range registries {
-		if n.registries[i], err = standin.NewRegistry(standin.RegistryConfig{RegistryConfig: model.RegistryConfig{Nodes: 1, Asked: c.asked}}); err != nil {
+		if n.registries[i], err = emulator.NewRegistry(emulator.RegistryConfig{RegistryConfig: model.RegistryConfig{Nodes: 1, Asked: c.asked}}); err != nil {
 			return nil, err
 		}
 		if err := n.registries[i].Change(n.entries...); err != nil {
--- a/internal/lab/slopes/slopes.go
+++ b/internal/lab/scaling/slopes.go
@@ -1,8 +1,8 @@
-// Package slopes measures what the planned size costs: each figure at three
+// Package scaling measures what the planned size costs: each figure at three
 // sizes or more, with a line through them by least squares and what that gives
 // at the planned size, beside its budget. It is where the figures of
 // docs/CAPACITY.md come from.
-package slopes
+package scaling
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"indigotack/internal/lab/result"
+	"bankshift/internal/lab/result"
 )
 
 // The operators' plan, and what it grants a node.
@@ -70,13 +70,13 @@
 	var x []float64
 	for _, p := range f.Points {
 		if math.IsNaN(p.Y) || math.IsInf(p.Y, 0) {
-			return fmt.Errorf("slopes: %s: no value at %v", f.Name, p.X)
+			return fmt.Errorf("scaling: %s: no value at %v", f.Name, p.X)
 		}
 		xs[p.X] = true
 		x, ys = append(x, p.X), append(ys, p.Y)
 	}
 	if len(xs) < leastPoints {
-		return fmt.Errorf("slopes: %s: measured at %d sizes, want %d", f.Name, len(xs), leastPoints)
+		return fmt.Errorf("scaling: %s: measured at %d sizes, want %d", f.Name, len(xs), leastPoints)
 	}
 	f.Intercept, f.Slope = stat.LinearRegression(x, ys, nil, false)
 	f.R2 = 1
@@ -150,7 +150,7 @@
 func Run(ctx context.Context, e *Env, names ...string) (*Report, error) {
 	for _, n := range names {
 		if !slices.ContainsFunc(All, func(m Measurement) bool { return m.Name == n }) {
-			return nil, fmt.Errorf("slopes: unknown measurement %q, want %s", n, strings.Join(Names(), ", "))
+			return nil, fmt.Errorf("scaling: unknown measurement %q, want %s", n, strings.Join(Names(), ", "))
 		}
 	}
 	began := time.Now()
@@ -165,7 +165,7 @@
 		e.log("%s: %s", m.Name, m.About)
 		figures, err := m.run(ctx, e)
 		if err != nil {
-			return nil, fmt.Errorf("slopes: %s: %w", m.Name, err)
+			return nil, fmt.Errorf("scaling: %s: %w", m.Name, err)
 		}
 		for _, f := range figures {
 			f.Command = "bankshift-lab slopes " + m.Name
@@ -194,7 +194,7 @@
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
 	if err := e.Encode(r); err != nil {
-		return fmt.Errorf("slopes: %w", err)
+		return fmt.Errorf("scaling: %w", err)
 	}
 	return nil
 }
@@ -224,7 +224,7 @@
 		fmt.Fprintf(t, "BROKEN\t%s\n", b)
 	}
 	if err := t.Flush(); err != nil {
-		return fmt.Errorf("slopes: %w", err)
+		return fmt.Errorf("scaling: %w", err)
 	}
 	return nil
 }
--- a/internal/lab/slopes/slopes_test.go
+++ b/internal/lab/scaling/slopes_test.go
@@ -1,4 +1,4 @@
-package slopes
+package scaling
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/fleet"
+	"bankshift/internal/lab/fleet"
 )
 
 // program is the node, built once.
--- a/internal/node/backend_test.go
+++ b/internal/node/backend_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 // enough bounds what a test waits for; a passing one takes far less.
@@ -67,7 +67,7 @@
 }
 
 func testPool(address string) *pool {
-	p := newPool(decide.Settings{ConnectTimeout: enough, ConnIdle: time.Hour}, 100)
+	p := newPool(balancer.Settings{ConnectTimeout: enough, ConnIdle: time.Hour}, 100)
 	p.set(1, address, 0, false)
 	p.rest = 0 // tests need not wait
 	return p
@@ -90,27 +90,27 @@
 	long := strings.Repeat("x", maxBody+maxHead+1)
 	for _, c := range []struct {
 		name, answer string // after it the server closes
-		want         decide.OutcomeCode
+		want         balancer.OutcomeCode
 	}{
-		{"served", okAnswer, decide.OK},
-		{"served after 1xx", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + okAnswer, decide.OK},
-		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", decide.OK},
-		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", decide.ServerError},
-		{"503 with proof", "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", decide.Full},
-		{"504 with proof", "HTTP/1.1 504 Late\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", decide.Full},
-		{"503 with no proof", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", decide.ServerError},
-		{"500 with a header that proves nothing", "HTTP/1.1 500 Oops\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", decide.ServerError},
-		{"can't use it", "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n", decide.Unusable},
-		{"a length over all bounds", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhi", decide.ServerError},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhi", decide.ServerError},
-		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi", decide.ServerError},
-		{"odd chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhi", decide.ServerError},
-		{"no answer", "", decide.Reset},
-		{"half a head", "HTTP/1.1 200 OK\r\nContent-", decide.Reset},
-		{"half a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi", decide.Reset},
-		{"no HTTP", "hello there\r\n\r\n", decide.ServerError},
-		{"body too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long), decide.ServerError},
-		{"head too long", "HTTP/1.1 200 OK\r\nX-Long: " + long + long, decide.ServerError},
+		{"served", okAnswer, balancer.OK},
+		{"served after 1xx", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + okAnswer, balancer.OK},
+		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balancer.OK},
+		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
+		{"503 with proof", "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full},
+		{"504 with proof", "HTTP/1.1 504 Late\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full},
+		{"503 with no proof", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
+		{"500 with a header that proves nothing", "HTTP/1.1 500 Oops\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
+		{"can't use it", "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n", balancer.Unusable},
+		{"a length over all bounds", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhi", balancer.ServerError},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhi", balancer.ServerError},
+		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi", balancer.ServerError},
+		{"odd chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhi", balancer.ServerError},
+		{"no answer", "", balancer.Reset},
+		{"half a head", "HTTP/1.1 200 OK\r\nContent-", balancer.Reset},
+		{"half a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi", balancer.Reset},
+		{"no HTTP", "hello there\r\n\r\n", balancer.ServerError},
+		{"body too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long), balancer.ServerError},
+		{"head too long", "HTTP/1.1 200 OK\r\nX-Long: " + long + long, balancer.ServerError},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
@@ -122,7 +122,7 @@
 			if got.code != c.want {
 				t.Errorf("outcome %d, want %d", got.code, c.want)
 			}
-			if got.code == decide.OK && string(got.body) != "hi" {
+			if got.code == balancer.OK && string(got.body) != "hi" {
 				t.Errorf("body %q", got.body)
 			}
 		})
@@ -130,11 +130,11 @@
 }
 
 func TestRefusedConnectionNeverRan(t *testing.T) {
-	if got := try(t, testPool(refusing(t)), enough); got.code != decide.ConnectFailed {
+	if got := try(t, testPool(refusing(t)), enough); got.code != balancer.ConnectFailed {
 		t.Errorf("outcome %d, want ConnectFailed", got.code)
 	}
-	p := newPool(decide.Settings{}, 100)
-	if got := try(t, p, enough); got.code != decide.Moot {
+	p := newPool(balancer.Settings{}, 100)
+	if got := try(t, p, enough); got.code != balancer.Moot {
 		t.Errorf("outcome %d of a server not listed, want Moot", got.code)
 	}
 }
@@ -148,13 +148,13 @@
 		name string
 		ctx  context.Context
 		err  error
-		want decide.OutcomeCode
+		want balancer.OutcomeCode
 	}{
-		{"refused", live, syscall.ECONNREFUSED, decide.ConnectFailed},
-		{"never comes up", live, os.ErrDeadlineExceeded, decide.ConnectFailed},
-		{"no descriptors", live, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}, decide.Moot},
-		{"the request ends first", gone, os.ErrDeadlineExceeded, decide.Moot},
-		{"too many connections", live, errTooMany, decide.Moot},
+		{"refused", live, syscall.ECONNREFUSED, balancer.ConnectFailed},
+		{"never comes up", live, os.ErrDeadlineExceeded, balancer.ConnectFailed},
+		{"no descriptors", live, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}, balancer.Moot},
+		{"the request ends first", gone, os.ErrDeadlineExceeded, balancer.Moot},
+		{"too many connections", live, errTooMany, balancer.Moot},
 	} {
 		if got := unsent(c.ctx, c.err); got != c.want {
 			t.Errorf("%s: outcome %d, want %d", c.name, got, c.want)
@@ -162,7 +162,7 @@
 	}
 	p := testPool(backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) { readRequest(r) }))
 	p.most = 0
-	if got := try(t, p, enough); got.code != decide.Moot {
+	if got := try(t, p, enough); got.code != balancer.Moot {
 		t.Errorf("outcome %d with no connection left, want Moot", got.code)
 	}
 }
@@ -200,12 +200,12 @@
 			io.WriteString(conn, okAnswer)
 		}
 	}))
-	if got := try(t, p, enough); got.code != decide.OK {
+	if got := try(t, p, enough); got.code != balancer.OK {
 		t.Fatalf("outcome %d, want OK", got.code)
 	}
 	idle := p.backends[1].idle
 	idle[0].Conn = shortConn{idle[0].Conn.(*net.TCPConn)}
-	if got := try(t, p, enough); got.code != decide.ConnectFailed {
+	if got := try(t, p, enough); got.code != balancer.ConnectFailed {
 		t.Errorf("outcome %d, want ConnectFailed", got.code)
 	}
 }
@@ -223,10 +223,10 @@
 			io.WriteString(conn, okAnswer)
 		}
 	}))
-	if got := try(t, p, enough); got.code != decide.OK {
+	if got := try(t, p, enough); got.code != balancer.OK {
 		t.Fatalf("outcome %d, want OK", got.code)
 	}
-	if got := try(t, p, enough); got.code != decide.Reset {
+	if got := try(t, p, enough); got.code != balancer.Reset {
 		t.Errorf("outcome %d, want Reset", got.code)
 	}
 	if n := len(requests); n != 2 {
@@ -260,7 +260,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if got := try(t, p, enough); got.code != decide.OK {
+	if got := try(t, p, enough); got.code != balancer.OK {
 		t.Errorf("outcome %d, want OK on a new connection", got.code)
 	}
 }
@@ -276,7 +276,7 @@
 			io.WriteString(conn, answer)
 			readRequest(r)
 		}))
-		if got := try(t, p, enough); got.code != decide.OK {
+		if got := try(t, p, enough); got.code != balancer.OK {
 			t.Errorf("%s: outcome %d, want OK", name, got.code)
 		}
 		if p.open != 0 || len(p.backends[1].idle) != 0 {
@@ -288,7 +288,7 @@
 // TestGivenUpAttemptIsClosed: the server must see the end of an attempt no
 // later than the module is told, or a further attempt could overlap it.
 func TestGivenUpAttemptIsClosed(t *testing.T) {
-	for name, want := range map[string]decide.OutcomeCode{"timed out": decide.TimedOut, "cancelled": decide.Cancelled} {
+	for name, want := range map[string]balancer.OutcomeCode{"timed out": balancer.TimedOut, "cancelled": balancer.Cancelled} {
 		got, gone := make(chan struct{}), make(chan struct{})
 		p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 			readRequest(r)
@@ -297,7 +297,7 @@
 			close(gone)
 		}))
 		ctx, cancel := context.WithTimeout(context.Background(), enough)
-		if want == decide.TimedOut {
+		if want == balancer.TimedOut {
 			ctx, cancel = context.WithTimeout(context.Background(), 1500*time.Millisecond)
 		} else {
 			go func() { <-got; cancel() }()
@@ -422,7 +422,7 @@
 }
 
 func TestParseLoad(t *testing.T) {
-	for in, want := range map[string]*decide.Report{
+	for in, want := range map[string]*balancer.Report{
 		"inflight=7,queue=2,util=0.5": {InFlight: 7, HasInFlight: true, Queue: 2, HasQueue: true, Utilisation: 0.5},
 		"queue=0":                     {HasQueue: true},
 		"active=3, waiting=1":         {InFlight: 3, HasInFlight: true, Queue: 1, HasQueue: true},
@@ -454,12 +454,12 @@
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", number)
 		}
 	}))
-	p.rest = newPool(decide.Settings{}, 1).rest // a node's own
-	const seen = 5 * time.Millisecond           // how late they were seen to come
+	p.rest = newPool(balancer.Settings{}, 1).rest // a node's own
+	const seen = 5 * time.Millisecond             // how late they were seen to come
 	if p.rest < 4*seen {
 		t.Errorf("a connection rests for %v, and second copies come up to %v late", p.rest, seen)
 	}
-	if got := try(t, p, enough); got.code != decide.OK {
+	if got := try(t, p, enough); got.code != balancer.OK {
 		t.Fatalf("outcome %d", got.code)
 	}
 	p.mu.Lock()
--- a/internal/node/closing_test.go
+++ b/internal/node/closing_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 // TestRetireSparesAReadRequest: a connection comes to rest and is given up in
@@ -141,11 +141,11 @@
 func TestKilledBehindAccept(t *testing.T) {
 	for name, c := range map[string]struct {
 		read func(r *bufio.Reader)
-		want []decide.OutcomeCode
+		want []balancer.OutcomeCode
 	}{
-		"nothing read": {func(*bufio.Reader) {}, []decide.OutcomeCode{decide.ConnectFailed, decide.Reset}},
-		"half read":    {func(r *bufio.Reader) { r.ReadByte() }, []decide.OutcomeCode{decide.ConnectFailed, decide.Reset}},
-		"all read":     {func(r *bufio.Reader) { readRequest(r) }, []decide.OutcomeCode{decide.Reset}},
+		"nothing read": {func(*bufio.Reader) {}, []balancer.OutcomeCode{balancer.ConnectFailed, balancer.Reset}},
+		"half read":    {func(r *bufio.Reader) { r.ReadByte() }, []balancer.OutcomeCode{balancer.ConnectFailed, balancer.Reset}},
+		"all read":     {func(r *bufio.Reader) { readRequest(r) }, []balancer.OutcomeCode{balancer.Reset}},
 	} {
 		p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 			c.read(r)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -9,9 +9,9 @@
 	"strconv"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/discovery"
-	"indigotack/internal/wire"
+	"bankshift/balancer"
+	"bankshift/internal/discovery"
+	"bankshift/internal/simwire"
 )
 
 // What a node without stated limits may use.
@@ -29,7 +29,7 @@
 	Seed      int64
 	MemoryMB  int
 	Sockets   int // file descriptors
-	Settings  decide.Settings
+	Settings  balancer.Settings
 	Known     discovery.List // the servers as the node last had them
 }
 
@@ -89,7 +89,7 @@
 	if in.Settings == nil {
 		return Config{}, errors.New("settings are missing")
 	}
-	settings, err := wire.DecodeSettings(in.Settings)
+	settings, err := simwire.DecodeSettings(in.Settings)
 	if err != nil {
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 const goodConfig = `{"name":"n3","listen":"127.0.0.1:5000","discovery":"127.0.0.1:8500","seed":"fc1f30d27a5be964",
@@ -44,10 +44,10 @@
 		t.Fatal(err)
 	}
 	address, _ := listening(t)
-	n := startNodeWith(t, func(s *decide.Settings) {
+	n := startNodeWith(t, func(s *balancer.Settings) {
 		s.ReportVia, s.MayProbe, s.MayMessage = c.Settings.ReportVia, c.Settings.MayProbe, c.Settings.MayMessage
 	}, address)
-	if a := do(t, n.request(t, "GET", "saldo", "q", "60", nil)); a.status != 200 || c.Settings.ReportVia != decide.ReportProbe {
+	if a := do(t, n.request(t, "GET", "saldo", "q", "60", nil)); a.status != 200 || c.Settings.ReportVia != balancer.ReportProbe {
 		t.Errorf("answer %d with reports by %v", a.status, c.Settings.ReportVia)
 	}
 }
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 // heldDials gives each new connection of a pool a gate of its own: it comes up
@@ -57,7 +57,7 @@
 	go func() { ended <- try(t, p, enough) }()
 	first := <-held
 	close(<-held)
-	if res := <-ended; res.code != decide.OK {
+	if res := <-ended; res.code != balancer.OK {
 		t.Fatalf("outcome %v over the second dial, want OK", res.code)
 	}
 	close(first)
@@ -120,7 +120,7 @@
 	go func() { ended <- try(t, p, enough) }()
 	second := <-held
 	close(first)
-	if res := <-ended; res.code != decide.OK {
+	if res := <-ended; res.code != balancer.OK {
 		t.Fatalf("outcome %v, want OK over the earlier dial", res.code)
 	}
 	close(second)
@@ -136,7 +136,7 @@
 	if _, err := p.get(context.Background(), 1); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("got %v, want a time-out", err)
 	}
-	if res := try(t, p, enough); res.code != decide.ConnectFailed {
+	if res := try(t, p, enough); res.code != balancer.ConnectFailed {
 		t.Errorf("outcome %v, want ConnectFailed", res.code)
 	}
 }
@@ -172,7 +172,7 @@
 				}
 				return nil
 			})
-			if res := try(t, p, enough); res.code != decide.OK {
+			if res := try(t, p, enough); res.code != balancer.OK {
 				t.Errorf("outcome %d, want OK", res.code)
 			}
 			idleCount(t, p, 1)
@@ -205,9 +205,9 @@
 				ctx, cancel := context.WithTimeout(context.Background(), enough)
 				defer cancel()
 				p.attempt(ctx, ctx, 2, get("/api/x"))
-				want := decide.Moot
+				want := balancer.Moot
 				if otherComesUp && unreachable(errno) {
-					want = decide.ConnectFailed
+					want = balancer.ConnectFailed
 				}
 				if res := wait(t, ended, "the attempt's end"); res.code != want || time.Since(began) > enough/2 {
 					t.Errorf("outcome %d after %v, want %d", res.code, time.Since(began), want)
@@ -222,7 +222,7 @@
 	p := testPool(refusing(t))
 	var dials atomic.Int32
 	failDials(p, func() error { dials.Add(1); return nil })
-	if res := try(t, p, enough); res.code != decide.ConnectFailed || dials.Load() != 1 {
+	if res := try(t, p, enough); res.code != balancer.ConnectFailed || dials.Load() != 1 {
 		t.Errorf("outcome %d after %d dials, want ConnectFailed after one", res.code, dials.Load())
 	}
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/discovery"
+	"bankshift/balancer"
+	"bankshift/internal/discovery"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -34,8 +34,8 @@
 
 func TestFollowSetsAddresses(t *testing.T) {
 	n := New(testConfig("127.0.0.1:1"), quiet)
-	apply := func(kind decide.ListKind, entries ...string) {
-		l := discovery.List{Index: 1, Snapshot: kind != decide.ListChanges}
+	apply := func(kind balancer.ListKind, entries ...string) {
+		l := discovery.List{Index: 1, Snapshot: kind != balancer.ListChanges}
 		for _, e := range entries {
 			l.Entries = append(l.Entries, json.RawMessage(e))
 		}
@@ -57,13 +57,13 @@
 		}
 	}
 	check("at the start", nil)
-	apply(decide.ListCached, entryJSON("a", "127.0.0.1:1", "ready"), entryJSON("b", "127.0.0.1:2", "draining"))
+	apply(balancer.ListCached, entryJSON("a", "127.0.0.1:1", "ready"), entryJSON("b", "127.0.0.1:2", "draining"))
 	check("cached", map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:2"})
-	apply(decide.ListChanges, entryJSON("a", "127.0.0.1:3", "ready"), entryJSON("b", "", "gone"), entryJSON("c", "", "gone"))
+	apply(balancer.ListChanges, entryJSON("a", "127.0.0.1:3", "ready"), entryJSON("b", "", "gone"), entryJSON("c", "", "gone"))
 	check("changes", map[string]string{"a": "127.0.0.1:3"})
-	apply(decide.ListFull, entryJSON("d", "127.0.0.1:4", "ready"))
+	apply(balancer.ListFull, entryJSON("d", "127.0.0.1:4", "ready"))
 	check("full", map[string]string{"d": "127.0.0.1:4"})
-	apply(decide.ListFull)
+	apply(balancer.ListFull)
 	check("empty", nil)
 }
 
@@ -248,7 +248,7 @@
 	cfg := testConfig(s.Listener.Addr().String())
 	cfg.Known.Index = 9
 	n := New(cfg, quiet)
-	n.follow(cfg.Known, decide.ListCached)
+	n.follow(cfg.Known, balancer.ListCached)
 	go n.discovery.Run(ctx)
 	if q := wait(t, first, "the first call"); q != "" {
 		t.Errorf("the first call is for %s, want the whole list", q)
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 const (
@@ -42,8 +42,8 @@
 // frontend takes clients' requests and writes their answers.
 type frontend struct {
 	node    *Node
-	most    int                      // connections
-	effects map[string]decide.Effect // of the classes
+	most    int                        // connections
+	effects map[string]balancer.Effect // of the classes
 	conns   *limited
 	stages  stages
 	linger  func(open func() int) // goes on serving for a while after the order to stop
@@ -72,7 +72,7 @@
 }
 
 func newFrontend(n *Node, most int) *frontend {
-	f := &frontend{node: n, most: most, effects: map[string]decide.Effect{}}
+	f := &frontend{node: n, most: most, effects: map[string]balancer.Effect{}}
 	longest := time.Duration(0)
 	for _, c := range n.cfg.Settings.Classes {
 		f.effects[c.Name] = c.Effect
@@ -163,7 +163,7 @@
 }
 
 // answer has a request handled. It gives no answer if the client has left.
-func (f *frontend) answer(ctx context.Context, req *request, event decide.RequestArrived) (answer, bool) {
+func (f *frontend) answer(ctx context.Context, req *request, event balancer.RequestArrived) (answer, bool) {
 	if c, ok := ctx.Value(connKey{}).(*limitedConn); ok {
 		c.setOpen(true)
 		defer c.setOpen(false) // before the client can have its answer
@@ -229,16 +229,16 @@
 }
 
 // read checks a request. The status goes with the error.
-func (f *frontend) read(w http.ResponseWriter, r *http.Request) (*request, decide.RequestArrived, int, error) {
+func (f *frontend) read(w http.ResponseWriter, r *http.Request) (*request, balancer.RequestArrived, int, error) {
 	// The body may take a while, or the request has waited behind another one:
 	// the client's clock runs.
 	arrived := time.Now()
 	if c, ok := r.Context().Value(connKey{}).(*limitedConn); ok {
 		arrived = c.lastCame()
 	}
-	e := decide.RequestArrived{Class: r.Header.Get("X-Class"), Tenant: r.Header.Get("X-Tenant"),
+	e := balancer.RequestArrived{Class: r.Header.Get("X-Class"), Tenant: r.Header.Get("X-Tenant"),
 		Repeat: r.Header.Get("X-Retry") == "1"}
-	bad := func(status int, format string, args ...any) (*request, decide.RequestArrived, int, error) {
+	bad := func(status int, format string, args ...any) (*request, balancer.RequestArrived, int, error) {
 		return nil, e, status, fmt.Errorf(format, args...)
 	}
 	if status, err := framing(r); err != nil {
@@ -248,7 +248,7 @@
 	if id == "" || len(id) > maxIDLength || len(r.Header.Values("X-Request-Id")) > 1 {
 		return bad(http.StatusBadRequest, "want one X-Request-Id of at most %d bytes", maxIDLength)
 	}
-	e.ID = decide.RequestID(id)
+	e.ID = balancer.RequestID(id)
 	effect, known := f.effects[e.Class]
 	if !known {
 		return bad(http.StatusBadRequest, "unknown X-Class %q", e.Class)
@@ -256,14 +256,14 @@
 	// The method tells the server what a repeat would do, so it must agree
 	// with what the module believes.
 	want := http.MethodPost
-	if effect == decide.Safe {
+	if effect == balancer.Safe {
 		want = http.MethodGet
 	}
 	if r.Method != want {
 		return bad(http.StatusMethodNotAllowed, "class %s wants %s", e.Class, want)
 	}
 	switch keys := r.Header.Values("Idempotency-Key"); {
-	case effect == decide.Keyed && (len(keys) != 1 || keys[0] == ""), effect == decide.Unsafe && len(keys) > 0:
+	case effect == balancer.Keyed && (len(keys) != 1 || keys[0] == ""), effect == balancer.Unsafe && len(keys) > 0:
 		return bad(http.StatusBadRequest, "class %s and Idempotency-Key do not agree", e.Class)
 	}
 	patience, err := seconds(r.Header.Get("X-Deadline"))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,4 @@
-// Package node carries out the decisions of package decide on real sockets: it
+// Package node carries out the decisions of package balancer on real sockets: it
 // takes clients' requests, sends them to servers, follows the list of servers
 // and answers, each request once and in time.
 package node
@@ -12,8 +12,8 @@
 	"reflect"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/discovery"
+	"bankshift/balancer"
+	"bankshift/internal/discovery"
 )
 
 const (
@@ -38,17 +38,17 @@
 
 	// The rest belongs to the loop.
 	ctx      context.Context
-	module   *decide.Module
+	module   *balancer.Module
 	servers  discovery.Directory
 	moves    uint64 // how many discoveries it has had
-	requests map[decide.RequestID]*request
-	queue    []decide.Event // that came of actions, to be handled next
-	ends     time.Time      // all answers are given by then; zero: no order to stop yet
+	requests map[balancer.RequestID]*request
+	queue    []balancer.Event // that came of actions, to be handled next
+	ends     time.Time        // all answers are given by then; zero: no order to stop yet
 }
 
 // request is a client's request until it is answered and its attempts have ended.
 type request struct {
-	id       decide.RequestID
+	id       balancer.RequestID
 	out      *outbound
 	deadline time.Time
 	answer   chan answer // takes the one final answer
@@ -71,8 +71,8 @@
 // New makes a node; Run starts it.
 func New(cfg Config, log *slog.Logger) *Node {
 	n := &Node{cfg: cfg, log: log, start: time.Now(), inbox: make(chan func(), inboxSize), ended: make(chan struct{}),
-		module: decide.New(cfg.Settings, cfg.Seed), servers: discovery.Directory{Log: log},
-		requests: map[decide.RequestID]*request{}}
+		module: balancer.New(cfg.Settings, cfg.Seed), servers: discovery.Directory{Log: log},
+		requests: map[balancer.RequestID]*request{}}
 	clients, backends := cfg.Connections()
 	n.backends = newPool(cfg.Settings, backends)
 	n.front = newFrontend(n, clients)
@@ -93,7 +93,7 @@
 		})
 	}
 	d.Listed = func(l discovery.List) { news(func() { n.follow(l, l.Kind()) }) }
-	d.Failed = func() { news(func() { n.handle(decide.ListUpdate{Kind: decide.ListFailed}) }) }
+	d.Failed = func() { news(func() { n.handle(balancer.ListUpdate{Kind: balancer.ListFailed}) }) }
 	return d
 }
 
@@ -127,7 +127,7 @@
 	first := n.discovery // the loop may replace it
 	go n.loop(inner)
 	go n.backends.run(inner)
-	n.post(func() { n.follow(n.cfg.Known, decide.ListCached) })
+	n.post(func() { n.follow(n.cfg.Known, balancer.ListCached) })
 	go first.Run(inner)
 	err := n.front.serve(ctx, ln)
 	stop()
@@ -158,12 +158,12 @@
 
 // now is the module's clock: wall time at the start plus what has passed, so
 // that it reads like the list's times and never steps back.
-func (n *Node) now() decide.Time {
+func (n *Node) now() balancer.Time {
 	return time.Duration(n.start.UnixNano()) + time.Since(n.start)
 }
 
 // handle tells the module of an event and carries out what it decides, in order.
-func (n *Node) handle(e decide.Event) {
+func (n *Node) handle(e balancer.Event) {
 	n.queue = append(n.queue, e)
 	if len(n.queue) > 1 {
 		return // the call further up gets to it
@@ -177,27 +177,27 @@
 	n.queue = nil
 }
 
-func (n *Node) act(a decide.Action) {
+func (n *Node) act(a balancer.Action) {
 	switch a := a.(type) {
-	case decide.Send:
+	case balancer.Send:
 		n.send(a)
-	case decide.Refuse:
+	case balancer.Refuse:
 		n.finish(a.ID, answer{status: http.StatusServiceUnavailable, holdOff: a.HoldOff})
-	case decide.Fail:
+	case balancer.Fail:
 		n.finish(a.ID, answer{status: http.StatusBadGateway})
-	case decide.CancelAttempt:
+	case balancer.CancelAttempt:
 		if r := n.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
 			r.attempts[a.Attempt]()
 		}
-	case decide.SetTimer:
-		time.AfterFunc(a.After, func() { n.post(func() { n.handle(decide.TimerFired{Token: a.Token}) }) })
-	case decide.CloseIdle:
+	case balancer.SetTimer:
+		time.AfterFunc(a.After, func() { n.post(func() { n.handle(balancer.TimerFired{Token: a.Token}) }) })
+	case balancer.CloseIdle:
 		n.backends.closeIdle(a.Server)
-	case decide.Subscribe:
+	case balancer.Subscribe:
 		n.discovery.Ask(false, a.On)
-	case decide.FetchList:
+	case balancer.FetchList:
 		n.discovery.Ask(true, n.cfg.Settings.AskForList)
-	case decide.Log:
+	case balancer.Log:
 		n.log.Info("module: " + a.Line)
 	default:
 		n.log.Warn("action not carried out", "action", a)
@@ -206,7 +206,7 @@
 
 // open takes a client's request and tells the module of it. The answer comes
 // on r.answer.
-func (n *Node) open(r *request, e decide.RequestArrived) {
+func (n *Node) open(r *request, e balancer.RequestArrived) {
 	if n.requests[r.id] != nil {
 		// Two under one id would get each other's answers.
 		r.done = true
@@ -237,7 +237,7 @@
 				for _, cancel := range r.attempts {
 					cancel() // a module that lost the request does not call them off
 				}
-				n.handle(decide.RequestAbandoned{ID: r.id})
+				n.handle(balancer.RequestAbandoned{ID: r.id})
 			}
 		})
 	})
@@ -260,13 +260,13 @@
 func (n *Node) abandon(r *request) {
 	if !r.done {
 		n.close(r)
-		n.handle(decide.RequestAbandoned{ID: r.id})
+		n.handle(balancer.RequestAbandoned{ID: r.id})
 	}
 }
 
 // finish gives a request its final answer. All answers pass here, and only
 // the first goes on.
-func (n *Node) finish(id decide.RequestID, a answer) {
+func (n *Node) finish(id balancer.RequestID, a answer) {
 	if r := n.requests[id]; r != nil && !r.done {
 		r.answer <- a
 		n.close(r)
@@ -286,7 +286,7 @@
 	}
 }
 
-func (n *Node) send(a decide.Send) {
+func (n *Node) send(a balancer.Send) {
 	r := n.requests[a.ID]
 	if r == nil {
 		n.log.Error("the module sends a request that is not open", "id", a.ID)
@@ -304,7 +304,7 @@
 	r.attempts = append(r.attempts, cancel)
 	if r.done || r.running > 0 && !n.cfg.Settings.MayOverlap {
 		cancel()
-		n.queue = append(n.queue, decide.AttemptEnded{ID: r.id, Attempt: number, Server: a.Server, Over: r.done, Code: decide.Moot})
+		n.queue = append(n.queue, balancer.AttemptEnded{ID: r.id, Attempt: number, Server: a.Server, Over: r.done, Code: balancer.Moot})
 		return
 	}
 	r.running++
@@ -324,29 +324,29 @@
 	}()
 }
 
-func (n *Node) attemptEnded(r *request, number int, server decide.ServerID, took, waited time.Duration, res result) {
+func (n *Node) attemptEnded(r *request, number int, server balancer.ServerID, took, waited time.Duration, res result) {
 	r.running--
-	if res.code == decide.OK {
+	if res.code == balancer.OK {
 		n.finish(r.id, answer{status: http.StatusOK, header: res.header, body: res.body})
 	}
 	over := r.done
-	n.handle(decide.AttemptEnded{ID: r.id, Attempt: number, Server: server, Over: over, Elapsed: took, Waited: waited,
+	n.handle(balancer.AttemptEnded{ID: r.id, Attempt: number, Server: server, Over: over, Elapsed: took, Waited: waited,
 		Code: res.code, Report: res.report})
 	n.forget(r)
 }
 
 // follow takes a list from discovery: addresses for the sockets, the rest for
 // the module.
-func (n *Node) follow(l discovery.List, kind decide.ListKind) {
+func (n *Node) follow(l discovery.List, kind balancer.ListKind) {
 	u, changes := n.servers.Apply(l, kind)
 	for _, c := range changes {
-		if c.State != decide.Gone {
-			n.backends.set(c.ID, c.Address, c.SinceMS, c.State != decide.Ready)
+		if c.State != balancer.Gone {
+			n.backends.set(c.ID, c.Address, c.SinceMS, c.State != balancer.Ready)
 		}
 	}
 	n.handle(u)
 	for _, c := range changes {
-		if c.State == decide.Gone {
+		if c.State == balancer.Gone {
 			n.backends.remove(c.ID)
 		}
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -17,18 +17,18 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 func testConfig(discovery string) Config {
-	return Config{Name: "n0", Discovery: discovery, Seed: 1, MemoryMB: 192, Sockets: 512, Settings: decide.Settings{
+	return Config{Name: "n0", Discovery: discovery, Seed: 1, MemoryMB: 192, Sockets: 512, Settings: balancer.Settings{
 		Nodes: 1, Zone: "a", Zones: []string{"a"}, Kinds: []string{"m2"}, MaxAttempts: 4, MayCancel: true, HoldOffs: true,
 		MaxHoldOff: 2 * time.Second, ConnectTimeout: enough, ConnIdle: time.Hour, MaxOpen: 1000,
 		DrainGrace: time.Second, ColdFrom: 0.3, ColdTime: time.Second, OverloadFactor: 3, OverloadTime: time.Second,
-		Classes: []decide.Class{
-			{Name: "saldo", Worth: 1, Aim: enough, Deadline: 2 * enough, Effect: decide.Safe},
-			{Name: "pedido", Worth: 1, Aim: enough, Deadline: 2 * enough, Effect: decide.Keyed, DedupWindow: time.Second},
-			{Name: "pagar", Worth: 1, Aim: enough, Deadline: 2 * enough, Effect: decide.Unsafe},
+		Classes: []balancer.Class{
+			{Name: "saldo", Worth: 1, Aim: enough, Deadline: 2 * enough, Effect: balancer.Safe},
+			{Name: "pedido", Worth: 1, Aim: enough, Deadline: 2 * enough, Effect: balancer.Keyed, DedupWindow: time.Second},
+			{Name: "pagar", Worth: 1, Aim: enough, Deadline: 2 * enough, Effect: balancer.Unsafe},
 		}}}
 }
 
@@ -43,11 +43,11 @@
 
 func startNode(t *testing.T, servers ...string) *running {
 	t.Helper()
-	return startNodeWith(t, func(*decide.Settings) {}, servers...)
+	return startNodeWith(t, func(*balancer.Settings) {}, servers...)
 }
 
 // startNodeWith starts a node whose settings are changed first.
-func startNodeWith(t *testing.T, change func(*decide.Settings), servers ...string) *running {
+func startNodeWith(t *testing.T, change func(*balancer.Settings), servers ...string) *running {
 	t.Helper()
 	return startNodeOn(t, listen(t), func(c *Config) { change(&c.Settings) }, servers...)
 }
@@ -270,7 +270,7 @@
 	go func() { answers <- do(t, n.request(t, "GET", "saldo", "q", "60", nil)) }()
 	wait(t, got, "the attempt")
 	n.post(func() {
-		n.module = decide.New(n.cfg.Settings, 1)
+		n.module = balancer.New(n.cfg.Settings, 1)
 		n.requests["q"].guard.Reset(0)
 	})
 	if a := wait(t, answers, "the answer"); a.status != http.StatusGatewayTimeout {
@@ -554,7 +554,7 @@
 func TestRefusedAtTheLimitIsToldToWait(t *testing.T) {
 	for _, holdOffs := range []bool{true, false} {
 		server, got, _ := silentServer(t)
-		n := startNodeWith(t, func(s *decide.Settings) { s.MaxOpen, s.HoldOffs = 1, holdOffs }, server)
+		n := startNodeWith(t, func(s *balancer.Settings) { s.MaxOpen, s.HoldOffs = 1, holdOffs }, server)
 		c := n.dial(t)
 		c.ask(t, "saldo", "q", "60")
 		wait(t, got, "the attempt")
--- a/internal/node/pieces_test.go
+++ b/internal/node/pieces_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 // scripted is a connection to a server whose reads are written down: piece
@@ -66,18 +66,18 @@
 		if name == "no length" || name == "1.0" {
 			head = strings.Index(answer, "\r\n\r\n") + 4
 		}
-		if got := play(io.EOF, strings.Split(answer, "")...); got.code != decide.OK || string(got.body) != "hi" {
+		if got := play(io.EOF, strings.Split(answer, "")...); got.code != balancer.OK || string(got.body) != "hi" {
 			t.Errorf("%s: byte by byte: outcome %d, body %q", name, got.code, got.body)
 		}
 		for cut := range len(answer) + 1 {
-			if got := play(io.EOF, answer[:cut], answer[cut:]); got.code != decide.OK || string(got.body) != "hi" {
+			if got := play(io.EOF, answer[:cut], answer[cut:]); got.code != balancer.OK || string(got.body) != "hi" {
 				t.Errorf("%s: cut at %d: outcome %d, body %q", name, cut, got.code, got.body)
 			}
-			if got := play(io.EOF, answer[:cut]); (got.code == decide.OK) != (cut >= head) {
+			if got := play(io.EOF, answer[:cut]); (got.code == balancer.OK) != (cut >= head) {
 				t.Errorf("%s: ends at %d: outcome %d", name, cut, got.code)
 			}
 			whole := cut == len(answer) && head == len(answer)
-			if got := play(syscall.ECONNRESET, answer[:cut]); (got.code == decide.OK) != whole || !whole && got.code != decide.Reset {
+			if got := play(syscall.ECONNRESET, answer[:cut]); (got.code == balancer.OK) != whole || !whole && got.code != balancer.Reset {
 				t.Errorf("%s: reset at %d: outcome %d", name, cut, got.code)
 			}
 		}
@@ -92,17 +92,17 @@
 	for _, c := range []struct {
 		name, first, more string
 		pause             time.Duration
-		want              decide.OutcomeCode
+		want              balancer.OutcomeCode
 	}{
-		{"head", head, long, 0, decide.ServerError},
-		{"infos", "", "HTTP/1.1 103 Early Hints\r\n\r\n", 0, decide.ServerError},
-		{"body with no length", head + "\r\n", long, 0, decide.ServerError},
-		{"body with no length behind a long head", head + strings.Repeat(long, 5) + "\r\n", long, 0, decide.ServerError},
-		{"body with no length behind long infos", strings.Repeat("HTTP/1.1 103 Hi\r\n"+long+"\r\n", 5) + head + "\r\n", long, 0, decide.ServerError},
-		{"chunks", head + "Transfer-Encoding: chunked\r\n\r\n", "5\r\nhello\r\n", 0, decide.ServerError},
-		{"trailer", head + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n", long, 0, decide.ServerError},
-		{"slow head", head, "X: y\r\n", time.Millisecond, decide.TimedOut},
-		{"slow body", head + "\r\n", "x", time.Millisecond, decide.TimedOut},
+		{"head", head, long, 0, balancer.ServerError},
+		{"infos", "", "HTTP/1.1 103 Early Hints\r\n\r\n", 0, balancer.ServerError},
+		{"body with no length", head + "\r\n", long, 0, balancer.ServerError},
+		{"body with no length behind a long head", head + strings.Repeat(long, 5) + "\r\n", long, 0, balancer.ServerError},
+		{"body with no length behind long infos", strings.Repeat("HTTP/1.1 103 Hi\r\n"+long+"\r\n", 5) + head + "\r\n", long, 0, balancer.ServerError},
+		{"chunks", head + "Transfer-Encoding: chunked\r\n\r\n", "5\r\nhello\r\n", 0, balancer.ServerError},
+		{"trailer", head + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n", long, 0, balancer.ServerError},
+		{"slow head", head, "X: y\r\n", time.Millisecond, balancer.TimedOut},
+		{"slow body", head + "\r\n", "x", time.Millisecond, balancer.TimedOut},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ended := make(chan int, 1)
@@ -168,7 +168,7 @@
 	var mu sync.Mutex
 	ran := map[string]int{}
 	// With no leave to cancel, no attempt is given up in a hiccup of this machine.
-	n := startNodeWith(t, func(s *decide.Settings) { s.MayCancel = false }, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	n := startNodeWith(t, func(s *balancer.Settings) { s.MayCancel = false }, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			req, err := http.ReadRequest(r)
 			if err != nil {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/discovery"
+	"bankshift/balancer"
+	"bankshift/internal/discovery"
 )
 
 // TestWholeListLeavesOut: a whole list, after a reload or from the watch that
@@ -62,8 +62,8 @@
 				whole = append(whole, entry(c.status, c.since))
 			}
 			n := startNode(t, address)
-			follow := func(kind decide.ListKind, entries ...string) {
-				l := discovery.List{Index: 1, Snapshot: kind == decide.ListFull}
+			follow := func(kind balancer.ListKind, entries ...string) {
+				l := discovery.List{Index: 1, Snapshot: kind == balancer.ListFull}
 				for _, e := range entries {
 					l.Entries = append(l.Entries, json.RawMessage(e))
 				}
@@ -88,7 +88,7 @@
 			wait(t, done, "its answer")
 			dialled := ask("dialled")
 			if c.drains {
-				follow(decide.ListChanges, entry("draining", 0))
+				follow(balancer.ListChanges, entry("draining", 0))
 			}
 			if c.moved {
 				address, watched, _ := listServer(t, 3, whole...)
@@ -97,7 +97,7 @@
 				n.Reload(cfg)
 				wait(t, watched, "the watch there") // the list is known before it begins
 			} else {
-				follow(decide.ListFull, whole...)
+				follow(balancer.ListFull, whole...)
 			}
 			expect("1 ends")
 			close(come)
@@ -129,7 +129,7 @@
 				l.Entries = append(l.Entries, json.RawMessage(entryJSON(fmt.Sprint("s", i), "127.0.0.1:1", state)))
 			}
 		}
-		n.follow(l, decide.ListFull)
+		n.follow(l, balancer.ListFull)
 		leaving := 0
 		for _, b := range n.backends.backends {
 			if b.leaving {
--- a/internal/wire/encode.go
+++ b/internal/simwire/encode.go
@@ -1,17 +1,17 @@
-package wire
+package simwire
 
 import (
 	"encoding/base64"
 	"encoding/json"
 	"strconv"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 // Reply holds the actions of one instance.
 type Reply struct {
 	Node    int
-	Actions []decide.Action
+	Actions []balancer.Action
 }
 
 // AppendReply writes the line that answers a batch, with its line end.
@@ -40,44 +40,44 @@
 	return append(b, "]}\n"...)
 }
 
-func appendAction(b []byte, a decide.Action) []byte {
+func appendAction(b []byte, a balancer.Action) []byte {
 	switch a := a.(type) {
-	case decide.Send:
+	case balancer.Send:
 		b = appendText(b, `{"assign":{"req":`, string(a.ID))
 		b = appendInt(b, `,"backend":`, int64(a.Server))
 		if a.Timeout != 0 {
 			b = appendInt(b, `,"try_for_ns":`, int64(a.Timeout))
 		}
-	case decide.Refuse:
+	case balancer.Refuse:
 		b = appendText(b, `{"deny":{"req":`, string(a.ID))
 		if a.HoldOff > 0 {
 			b = appendInt(b, `,"hold_off_ns":`, int64(a.HoldOff))
 		}
-	case decide.Fail:
+	case balancer.Fail:
 		b = appendText(b, `{"fail":{"req":`, string(a.ID))
-	case decide.CancelAttempt:
+	case balancer.CancelAttempt:
 		b = appendText(b, `{"stop_attempt":{"req":`, string(a.ID))
 		b = appendInt(b, `,"leg":`, int64(a.Attempt))
-	case decide.SetTimer:
+	case balancer.SetTimer:
 		b = appendInt(b, `{"arm":{"from_now_ns":`, int64(a.After))
 		b = appendInt(b, `,"label":`, a.Token)
-	case decide.Probe:
+	case balancer.Probe:
 		b = appendInt(b, `{"probe":{"backend":`, int64(a.Server))
-	case decide.SendMessage:
+	case balancer.SendMessage:
 		if a.ToAll {
 			b = append(b, `{"tell":{"dest":"*"`...)
 		} else {
 			b = appendInt(b, `{"tell":{"dest":`, int64(a.To))
 		}
 		b = appendText(b, `,"bytes":`, base64.StdEncoding.EncodeToString(a.Data))
-	case decide.Subscribe:
+	case balancer.Subscribe:
 		b = append(b, `{"subscribe":{"want":`...)
 		b = strconv.AppendBool(b, a.On)
-	case decide.FetchList:
+	case balancer.FetchList:
 		b = append(b, `{"reload":{`...)
-	case decide.CloseIdle:
+	case balancer.CloseIdle:
 		b = appendInt(b, `{"disconnect":{"backend":`, int64(a.Server))
-	case decide.Log:
+	case balancer.Log:
 		b = appendText(b, `{"trace":{"message":`, a.Line)
 	}
 	return append(b, "}}"...)
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's JSON lines and the decision
+// Package simwire translates between the simulator's JSON lines and the decision
 // module's types. It decides nothing.
-package wire
+package simwire
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 // The codes by which the wire names outcomes.
@@ -32,15 +32,15 @@
 	flagWrite  = 4
 )
 
-var outcomes = map[int]decide.OutcomeCode{
-	codeOK: decide.OK, codeCancelled: decide.Cancelled, codeTimeout: decide.TimedOut, codeFull: decide.Full,
-	codeMoot: decide.Moot, codeReset: decide.Reset, codeError: decide.ServerError,
-	codeConnectFailed: decide.ConnectFailed,
+var outcomes = map[int]balancer.OutcomeCode{
+	codeOK: balancer.OK, codeCancelled: balancer.Cancelled, codeTimeout: balancer.TimedOut, codeFull: balancer.Full,
+	codeMoot: balancer.Moot, codeReset: balancer.Reset, codeError: balancer.ServerError,
+	codeConnectFailed: balancer.ConnectFailed,
 }
 
 // Start is an `up`: an instance begins.
 type Start struct {
-	Settings decide.Settings
+	Settings balancer.Settings
 	Seed     int64
 }
 
@@ -48,7 +48,7 @@
 type Happening struct {
 	Start  *Start
 	Retire bool
-	Event  decide.Event
+	Event  balancer.Event
 }
 
 // Group holds the events of one instance.
@@ -59,7 +59,7 @@
 
 // Batch is one line from the simulator.
 type Batch struct {
-	Now    decide.Time
+	Now    balancer.Time
 	Groups []Group
 }
 
@@ -138,7 +138,7 @@
 			return Happening{}, missing("patience_left_ns")
 		}
 		tenant, _ := e.Group.(string)
-		return Happening{Event: decide.RequestArrived{ID: decide.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
+		return Happening{Event: balancer.RequestArrived{ID: balancer.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
 			Key: e.Key, Patience: time.Duration(*e.Patience), WorkHint: time.Duration(e.Cost),
 			HasHint: e.Flags&flagHint != 0, Repeat: e.Flags&flagRepeat != 0, Write: e.Flags&flagWrite != 0}}, nil
 	case "attempt_end", "probe_result", "streaming":
@@ -153,7 +153,7 @@
 		if e.Label == nil {
 			return Happening{}, missing("label")
 		}
-		return Happening{Event: decide.TimerFired{Token: *e.Label}}, nil
+		return Happening{Event: balancer.TimerFired{Token: *e.Label}}, nil
 	case "abandoned":
 		var e struct {
 			Req *string `json:"req"`
@@ -164,7 +164,7 @@
 		if e.Req == nil {
 			return Happening{}, missing("req")
 		}
-		return Happening{Event: decide.RequestAbandoned{ID: decide.RequestID(*e.Req)}}, nil
+		return Happening{Event: balancer.RequestAbandoned{ID: balancer.RequestID(*e.Req)}}, nil
 	case "note_from":
 		var e struct {
 			From  *int   `json:"from"`
@@ -176,7 +176,7 @@
 		if e.From == nil {
 			return Happening{}, missing("from")
 		}
-		return Happening{Event: decide.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
+		return Happening{Event: balancer.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
 	case "roster_change":
 		return decodeList(raw)
 	case "up":
@@ -203,8 +203,8 @@
 	if e.Backend == nil {
 		return Happening{}, missing("backend")
 	}
-	server, took := decide.ServerID(*e.Backend), time.Duration(e.Delay)
-	var id decide.RequestID
+	server, took := balancer.ServerID(*e.Backend), time.Duration(e.Delay)
+	var id balancer.RequestID
 	if name != "probe_result" {
 		if e.Req == nil {
 			return Happening{}, missing("req")
@@ -212,10 +212,10 @@
 		if e.Leg == nil {
 			return Happening{}, missing("leg")
 		}
-		id = decide.RequestID(*e.Req)
+		id = balancer.RequestID(*e.Req)
 	}
 	if name == "streaming" {
-		return Happening{Event: decide.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: took}}, nil
+		return Happening{Event: balancer.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: took}}, nil
 	}
 	if e.Disposition == nil {
 		return Happening{}, missing("disposition")
@@ -226,15 +226,15 @@
 	}
 	report := decodeReport(e.Feedback)
 	if name == "probe_result" {
-		return Happening{Event: decide.ProbeEnded{Server: server, Code: code, Elapsed: took, Report: report}}, nil
+		return Happening{Event: balancer.ProbeEnded{Server: server, Code: code, Elapsed: took, Report: report}}, nil
 	}
-	return Happening{Event: decide.AttemptEnded{ID: id, Attempt: *e.Leg, Server: server, Over: e.Over,
+	return Happening{Event: balancer.AttemptEnded{ID: id, Attempt: *e.Leg, Server: server, Over: e.Over,
 		Elapsed: took, Code: code, Report: report}}, nil
 }
 
 // decodeReport skips the keys it does not know; a report with no known key is none.
-func decodeReport(values map[string]json.RawMessage) *decide.Report {
-	var r decide.Report
+func decodeReport(values map[string]json.RawMessage) *balancer.Report {
+	var r balancer.Report
 	known := false
 	for name, raw := range values {
 		v, err := strconv.ParseFloat(string(raw), 64)
@@ -248,7 +248,7 @@
 
 // SetReportField sets the value of a load report that the simulator, or a
 // server on a socket, calls so. It tells whether the name is known.
-func SetReportField(r *decide.Report, name string, v float64) bool {
+func SetReportField(r *balancer.Report, name string, v float64) bool {
 	switch name {
 	case "active", "inflight":
 		r.InFlight, r.HasInFlight = v, true
@@ -268,12 +268,12 @@
 	return true
 }
 
-var listKinds = map[string]decide.ListKind{
-	"D": decide.ListChanges, "F": decide.ListFull, "C": decide.ListCached, "X": decide.ListFailed,
+var listKinds = map[string]balancer.ListKind{
+	"D": balancer.ListChanges, "F": balancer.ListFull, "C": balancer.ListCached, "X": balancer.ListFailed,
 }
 
-var states = map[string]decide.ServerState{
-	"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone,
+var states = map[string]balancer.ServerState{
+	"ready": balancer.Ready, "draining": balancer.Draining, "gone": balancer.Gone,
 }
 
 func decodeList(raw json.RawMessage) (Happening, error) {
@@ -289,7 +289,7 @@
 	if !ok {
 		return Happening{}, fmt.Errorf("unknown how %q", e.How)
 	}
-	l := decide.ListUpdate{Kind: kind, Version: e.Version}
+	l := balancer.ListUpdate{Kind: kind, Version: e.Version}
 	for i, it := range e.Items {
 		if it.Backend == nil {
 			return Happening{}, fmt.Errorf("entry %d: %w", i, missing("backend"))
@@ -298,18 +298,18 @@
 		if !ok {
 			return Happening{}, fmt.Errorf("entry %d: unknown state %q", i, it.State)
 		}
-		l.Entries = append(l.Entries, decide.Server{ID: decide.ServerID(*it.Backend), Zone: it.Zone, Kind: it.Model,
+		l.Entries = append(l.Entries, balancer.Server{ID: balancer.ServerID(*it.Backend), Zone: it.Zone, Kind: it.Model,
 			Cell: it.Pod, State: state, Size: it.Nominal, StartedAt: time.Duration(it.ReadyAt)})
 	}
 	return Happening{Event: l}, nil
 }
 
-var effects = map[string]decide.Effect{"retryable": decide.Safe, "dedup": decide.Keyed, "fragile": decide.Unsafe}
+var effects = map[string]balancer.Effect{"retryable": balancer.Safe, "dedup": balancer.Keyed, "fragile": balancer.Unsafe}
 
-var scopes = map[string]decide.Scope{"cell": decide.ScopeCell, "zone": decide.ScopeZone, "all": decide.ScopeAll}
+var scopes = map[string]balancer.Scope{"cell": balancer.ScopeCell, "zone": balancer.ScopeZone, "all": balancer.ScopeAll}
 
-var reportVias = map[string]decide.ReportVia{
-	"none": decide.ReportNone, "probe": decide.ReportProbe, "answers": decide.ReportAnswers,
+var reportVias = map[string]balancer.ReportVia{
+	"none": balancer.ReportNone, "probe": balancer.ReportProbe, "answers": balancer.ReportAnswers,
 }
 
 // The values of weight_kind; a site that states none has no sizes.
@@ -358,7 +358,7 @@
 
 // DecodeSettings reads the settings of an instance, which the simulator and a
 // real node's configuration give in the same form.
-func DecodeSettings(raw json.RawMessage) (decide.Settings, error) {
+func DecodeSettings(raw json.RawMessage) (balancer.Settings, error) {
 	var p *struct {
 		Accounts []struct {
 			Name     string  `json:"name"`
@@ -449,10 +449,10 @@
 		Zone       string   `json:"zone"`
 	}
 	if err := json.Unmarshal(raw, &p); err != nil {
-		return decide.Settings{}, err
+		return balancer.Settings{}, err
 	}
 	if p == nil {
-		return decide.Settings{}, missing("settings")
+		return balancer.Settings{}, missing("settings")
 	}
 	for _, c := range []struct {
 		key, value string
@@ -464,10 +464,10 @@
 		{"worth_by", p.WorthBy, p.WorthBy == "request" || p.WorthBy == "work"},
 	} {
 		if c.value != "" && !c.known {
-			return decide.Settings{}, fmt.Errorf("unknown %s %q", c.key, c.value)
+			return balancer.Settings{}, fmt.Errorf("unknown %s %q", c.key, c.value)
 		}
 	}
-	s := decide.Settings{Nodes: p.Balancers, Self: p.Slot, Zone: p.Zone, Zones: p.Domains, Kinds: p.Kinds,
+	s := balancer.Settings{Nodes: p.Balancers, Self: p.Slot, Zone: p.Zone, Zones: p.Domains, Kinds: p.Kinds,
 		MaxAttempts: p.Caps.MaxAttempts, MayOverlap: p.Caps.MayDuplicate, MayCancel: p.Caps.Cancel,
 		MayProbe: p.Caps.Probes, MayMessage: p.Caps.Peers, HoldOffs: p.Caps.RetryAfter,
 		MaxHoldOff: time.Duration(p.Caps.MaxRetryAfter), MarksRepeats: p.Habits.MarksRetry,
@@ -484,28 +484,28 @@
 		StreamsPerConn: p.Caps.Multiplex, ConnIdle: time.Duration(p.Caps.ConnIdle), MaxOpen: p.Caps.MostHeld,
 		CPUPerSecond:  time.Duration(p.Caps.CPUPerSecond * float64(time.Microsecond)),
 		CPUPerRequest: time.Duration(p.Caps.CPUPerRequest * float64(time.Microsecond)),
-		Goal: decide.Goal{Whole: p.Goal.Whole, WorstWindow: p.Goal.WorstWindow, WorstClass: p.Goal.WorstClass,
+		Goal: balancer.Goal{Whole: p.Goal.Whole, WorstWindow: p.Goal.WorstWindow, WorstClass: p.Goal.WorstClass,
 			WorstTenant: p.Goal.WorstTenant},
-		Prices: decide.Prices{Connection: p.Charges.Connection, Handshake: p.Charges.Handshake,
+		Prices: balancer.Prices{Connection: p.Charges.Connection, Handshake: p.Charges.Handshake,
 			CrossZone: p.Charges.CrossZone, Waste: p.Charges.Waste, LateFail: p.Charges.LateFail,
 			Probe: p.Charges.Probe, Message: p.Charges.Peer, Moves: p.Charges.Moves, Origin: p.Charges.Origin,
 			ListLines: p.Charges.Lines, Fleet: p.Charges.Fleet}}
 	for _, c := range p.Classes {
 		effect, ok := effects[c.Effect]
 		if !ok {
-			return decide.Settings{}, fmt.Errorf("class %s: unknown effect %q", c.Name, c.Effect)
+			return balancer.Settings{}, fmt.Errorf("class %s: unknown effect %q", c.Name, c.Effect)
 		}
 		scope, ok := scopes[c.KeyScope]
-		if !ok && (c.KeyScope != "" || effect == decide.Keyed) {
-			return decide.Settings{}, fmt.Errorf("class %s: unknown key_scope %q", c.Name, c.KeyScope)
+		if !ok && (c.KeyScope != "" || effect == balancer.Keyed) {
+			return balancer.Settings{}, fmt.Errorf("class %s: unknown key_scope %q", c.Name, c.KeyScope)
 		}
-		s.Classes = append(s.Classes, decide.Class{Name: c.Name, Worth: c.Importance, Aim: time.Duration(c.Aim),
+		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, Worth: c.Importance, Aim: time.Duration(c.Aim),
 			AimStretch: c.AimStretch, Deadline: time.Duration(c.GiveUp), LateWorth: c.LateWorth, Effect: effect,
 			KeyScope: scope, DedupWindow: time.Duration(c.Dedup), Streamed: c.Streamed,
 			OnlyZones: c.Domains, OnlyKinds: c.AllowedOn})
 	}
 	for _, t := range p.Accounts {
-		s.Tenants = append(s.Tenants, decide.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Fraction})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Fraction})
 	}
 	return s, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"bankshift/balancer"
 )
 
 const start = `{"up":{"seed":9007199254740993,"profile_data":{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],
@@ -36,23 +36,23 @@
 	h := one(t, strings.ReplaceAll(start, "\n", ""))
 	s := h.Start.Settings
 	if h.Start.Seed != 9007199254740993 || s.Nodes != 3 || s.Self != 2 || !s.AskForList || !s.SizeLive || !s.MayOverlap ||
-		s.ReportVia != decide.ReportAnswers || s.DrainGrace != 500*time.Millisecond || s.OverloadFactor != 2.5 {
+		s.ReportVia != balancer.ReportAnswers || s.DrainGrace != 500*time.Millisecond || s.OverloadFactor != 2.5 {
 		t.Errorf("%+v", h.Start)
 	}
 	if s.CPUPerSecond != 15*time.Millisecond || s.CPUPerRequest != 2500*time.Nanosecond || s.MaxOpen != 9 || s.ConnIdle != 5 ||
-		s.StreamsPerConn != 100 || s.Prices != (decide.Prices{CrossZone: 0.02, ListLines: 0.5}) || s.Tier != 1 || len(s.Tiers) != 2 ||
-		s.Goal != (decide.Goal{Whole: 0.6, WorstWindow: 0.4}) || s.Family != "proxy" || !s.WarmKeys || s.PassesDeadline {
+		s.StreamsPerConn != 100 || s.Prices != (balancer.Prices{CrossZone: 0.02, ListLines: 0.5}) || s.Tier != 1 || len(s.Tiers) != 2 ||
+		s.Goal != (balancer.Goal{Whole: 0.6, WorstWindow: 0.4}) || s.Family != "proxy" || !s.WarmKeys || s.PassesDeadline {
 		t.Errorf("%+v", s)
 	}
 	c := s.Classes[0]
-	if c.Effect != decide.Keyed || c.KeyScope != decide.ScopeCell || c.Worth != 12 || !c.Streamed || c.Deadline != 1200*time.Millisecond {
+	if c.Effect != balancer.Keyed || c.KeyScope != balancer.ScopeCell || c.Worth != 12 || !c.Streamed || c.Deadline != 1200*time.Millisecond {
 		t.Errorf("%+v", c)
 	}
 }
 
 // Where a key is absent there is no such rule; an empty list opens nothing.
 func TestPlacementAndDrainClose(t *testing.T) {
-	class := func(extra string) decide.Settings {
+	class := func(extra string) balancer.Settings {
 		return one(t, `{"up":{"seed":1,"profile_data":{"invariants":{"drain_close_ns":500000000},"weight_kind":"rough","classes":[
 			{"name":"x","effect":"retryable"`+extra+`}]}}}`).Start.Settings
 	}
@@ -73,11 +73,11 @@
 }
 
 func TestOutcomeCodes(t *testing.T) {
-	for code, want := range map[string]decide.OutcomeCode{"0": decide.OK, "13": decide.ServerError, "8": decide.Full,
-		"4": decide.TimedOut, "14": decide.ConnectFailed, "10": decide.Reset, "1": decide.Cancelled, "9": decide.Moot} {
+	for code, want := range map[string]balancer.OutcomeCode{"0": balancer.OK, "13": balancer.ServerError, "8": balancer.Full,
+		"4": balancer.TimedOut, "14": balancer.ConnectFailed, "10": balancer.Reset, "1": balancer.Cancelled, "9": balancer.Moot} {
 		h := one(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
 			"feedback":{"active":7,"unheard_of":3,"waiting":2}}}`)
-		e := h.Event.(decide.AttemptEnded)
+		e := h.Event.(balancer.AttemptEnded)
 		if e.Code != want || e.Attempt != 1 || e.Server != 7 || e.Over || e.Report.InFlight != 7 || e.Report.Queue != 2 {
 			t.Errorf("code %s: %+v", code, e)
 		}
@@ -86,7 +86,7 @@
 
 func TestReportWithNoKnownFieldIsNone(t *testing.T) {
 	h := one(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
-	if e := h.Event.(decide.AttemptEnded); e.Report != nil {
+	if e := h.Event.(balancer.AttemptEnded); e.Report != nil {
 		t.Errorf("%+v", e.Report)
 	}
 }
@@ -129,11 +129,11 @@
 }
 
 func TestReplyIsJSON(t *testing.T) {
-	line := AppendReply(nil, []Reply{{Node: 3, Actions: []decide.Action{
-		decide.Send{ID: "q", Server: 4294967295, Timeout: 80 * time.Millisecond}, decide.Refuse{ID: "q", HoldOff: 5},
-		decide.Fail{ID: "q"}, decide.CancelAttempt{ID: "q", Attempt: 1}, decide.SetTimer{After: 5, Token: 77},
-		decide.Probe{Server: 1}, decide.SendMessage{ToAll: true, Data: []byte("hi")}, decide.SendMessage{To: 2},
-		decide.Subscribe{On: true}, decide.FetchList{}, decide.CloseIdle{Server: 1}, decide.Log{Line: "a \"b\""}}}, {Node: 4}})
+	line := AppendReply(nil, []Reply{{Node: 3, Actions: []balancer.Action{
+		balancer.Send{ID: "q", Server: 4294967295, Timeout: 80 * time.Millisecond}, balancer.Refuse{ID: "q", HoldOff: 5},
+		balancer.Fail{ID: "q"}, balancer.CancelAttempt{ID: "q", Attempt: 1}, balancer.SetTimer{After: 5, Token: 77},
+		balancer.Probe{Server: 1}, balancer.SendMessage{ToAll: true, Data: []byte("hi")}, balancer.SendMessage{To: 2},
+		balancer.Subscribe{On: true}, balancer.FetchList{}, balancer.CloseIdle{Server: 1}, balancer.Log{Line: "a \"b\""}}}, {Node: 4}})
 	var v struct {
 		Groups []struct {
 			Node    int                         `json:"node_id"`
