--- a/balancer/ask.go
+++ b/balancer/poll.go
@@ -11,18 +11,20 @@
 	// Calls wait up to 2 s for their turn, and those that are given up sooner wait anew, so it can't be much shorter.
 	MaxPollRetryInterval = 2500 * time.Millisecond
 
-	firstPollBackoff   = 200 * time.Millisecond // wait behind a first failure; doubles
+	firstPollBackoff  = 200 * time.Millisecond // wait behind a first failure; doubles
 	pollAnswerTimeout = 5 * time.Second        // without any answer to a call, at least, before the next: it would end the first
 )
 
 // asker decides when to subscribe to the list.
 type poller struct {
 	subscribed, pending bool
-	pollAt, polledAt        Time          // not before; the last time
-	backoff               time.Duration // behind the next failure, before jitter
+	pollAt, polledAt    Time          // not before; the last time
+	backoff             time.Duration // behind the next failure, before jitter
 }
 
-func (m *Balancer) startPolling() { m.poller.backoff, m.poller.pollAt = firstPollBackoff, m.now+m.jitter(firstPollBackoff) }
+func (m *Balancer) startPolling() {
+	m.poller.backoff, m.poller.pollAt = firstPollBackoff, m.now+m.jitter(firstPollBackoff)
+}
 
 // keepAsking subscribes where that is due.
 func (m *Balancer) poll() {
--- a/balancer/cold.go
+++ b/balancer/slowstart.go
@@ -8,12 +8,11 @@
 )
 
 const (
-	slowStartRate  = 4.0 // 1/s, of all nodes to a cold server with no warm one to compare
+	slowStartRate   = 4.0 // 1/s, of all nodes to a cold server with no warm one to compare
 	slowStartGrowth = 0.5 // of the overload factor, times what a cold server can do
 
-	maxClockStep   = time.Hour        // by which wall clocks are stepped at most
-	removalMemory = 10 * time.Minute // for so long is a server that has left the list known to be the same
-	unknownStartGrowth  = 0.5              // of the least warmth, that a server may have gained before it is news
+	maxClockStep       = time.Hour // by which wall clocks are stepped at most
+	unknownStartGrowth = 0.5       // of the least warmth, that a server may have gained before it is news
 )
 
 func (m *Balancer) startWarmup(s *endpoint, at Time) {
