--- /dev/null
+++ b/internal/lab/emulator/conn.go
@@ -0,0 +1,64 @@
+package emulator
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"time"
+)
+
+// conn is a connection accepted by a faultListener.
+type conn struct {
+	*net.TCPConn
+	owner        *faultListener
+	requestStart atomic.Int64 // first byte of the current request, Unix time in nanoseconds
+	emulated     emulatedConn // of a Server; unused by a Registry
+}
+
+type connKey struct{}
+
+// connOf returns the connection on which a request arrived.
+func connOf(r *http.Request) *conn { return r.Context().Value(connKey{}).(*conn) }
+
+// requestStarted is when the first byte of the current request arrived.
+func (c *conn) requestStarted() time.Time { return time.Unix(0, c.requestStart.Load()) }
+
+// reset closes the connection with a TCP reset. net/http then finds it closed.
+func (c *conn) reset() {
+	c.SetLinger(0)
+	c.TCPConn.Close()
+}
+
+// Read reads from the connection and counts the bytes.
+func (c *conn) Read(b []byte) (int, error) {
+	n, err := c.TCPConn.Read(b)
+	c.owner.bytesIn.Add(int64(n))
+	return n, err
+}
+
+// Write sends b and counts the bytes. On a vanished machine it discards b and
+// reports success.
+func (c *conn) Write(b []byte) (int, error) {
+	if c.owner.isSilent() {
+		return len(b), nil
+	}
+	n, err := c.TCPConn.Write(b)
+	c.owner.bytesOut.Add(int64(n))
+	return n, err
+}
+
+// ReadFrom hides that of the TCP connection, which would bypass Write.
+func (c *conn) ReadFrom(r io.Reader) (int64, error) { return io.Copy(struct{ io.Writer }{c}, r) }
+
+// Close closes the connection. On a vanished machine the peer must not see
+// that, so the socket stays open until the owner resets it.
+func (c *conn) Close() error {
+	c.owner.mu.Lock()
+	defer c.owner.mu.Unlock()
+	if c.owner.silent {
+		c.owner.unclosed = append(c.owner.unclosed, c.TCPConn)
+		return nil
+	}
+	return c.TCPConn.Close()
+}
--- /dev/null
+++ b/internal/lab/emulator/port.go
@@ -0,0 +1,71 @@
+package emulator
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"syscall"
+)
+
+// holdPort keeps other processes from binding a port while nobody serves on
+// it. With silent false connections to it are refused. With silent true they
+// are never established: the accept queue holds one connection, which is
+// taken, and TCP drops the rest. release gives the port up; it is nil if
+// holdPort fails.
+func holdPort(addr *net.TCPAddr, silent bool) (release func(), err error) {
+	held := &heldPort{}
+	if err := held.bind(addr, silent); err != nil {
+		held.release()
+		return nil, fmt.Errorf("emulator: holding %v: %w", addr, err)
+	}
+	return held.release, nil
+}
+
+// heldPort owns the sockets that keep a port.
+type heldPort struct {
+	fds []int
+}
+
+func (h *heldPort) bind(addr *net.TCPAddr, silent bool) error {
+	sockaddr := &syscall.SockaddrInet4{Port: addr.Port, Addr: [4]byte(addr.IP.To4())}
+	fd, err := h.socket()
+	if err != nil {
+		return err
+	}
+	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
+		return os.NewSyscallError("setsockopt", err)
+	}
+	if err := syscall.Bind(fd, sockaddr); err != nil {
+		return os.NewSyscallError("bind", err)
+	}
+	if !silent {
+		return nil
+	}
+	if err := syscall.Listen(fd, 0); err != nil {
+		return os.NewSyscallError("listen", err)
+	}
+	filler, err := h.socket()
+	if err != nil {
+		return err
+	}
+	if err := syscall.Connect(filler, sockaddr); err != nil && !errors.Is(err, syscall.EINPROGRESS) {
+		return os.NewSyscallError("connect", err)
+	}
+	return nil
+}
+
+func (h *heldPort) socket() (int, error) {
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return 0, os.NewSyscallError("socket", err)
+	}
+	h.fds = append(h.fds, fd)
+	return fd, nil
+}
+
+func (h *heldPort) release() {
+	for _, fd := range h.fds {
+		syscall.Close(fd)
+	}
+}
--- a/internal/lab/emulator/registry.go
+++ b/internal/lab/emulator/registry.go
@@ -11,63 +11,70 @@
 	"bankshift/internal/lab/model"
 )
 
-const listPath = "/registry/instances"
+const instancesPath = "/registry/instances"
 
-// RegistryConfig is what a discovery is.
+// RegistryConfig configures a Registry.
 type RegistryConfig struct {
 	model.RegistryConfig
 	Rand  model.Rand // see model.NewRegistry
-	Epoch time.Time  // start of the run, the zero of all its times; zero: now
+	Epoch time.Time  // start of the run, from which the model's times count; zero: now
 }
 
-// Registry is discovery, with an address for each node: its agent, or its way
-// to the service. All its methods are safe for concurrent use.
+// Registry emulates discovery, with one address for each node: that of its
+// agent, or its way to the service. All methods are safe for concurrent use.
+// The owner calls Close.
 type Registry struct {
-	cfg   RegistryConfig
-	gates []*gate
-	done  chan struct{}
+	cfg       RegistryConfig
+	listeners []*faultListener // by node
+	done      chan struct{}    // closed by Close
 
 	mu       sync.Mutex
 	model    *model.Registry
 	refusing bool
-	waiting  map[uint64]chan model.Answer
-	timer    *time.Timer // for the model's Next
+	waiting  map[uint64]chan model.Response // by call id
+	timer    *time.Timer                    // fires at the model's Next
 	closed   bool
 }
 
-// NewRegistry starts a discovery with an empty list, on free ports of the
+// NewRegistry starts a registry with an empty list, on free ports of the
 // loopback address.
 func NewRegistry(cfg RegistryConfig) (*Registry, error) {
 	if cfg.Epoch.IsZero() {
 		cfg.Epoch = time.Now()
 	}
-	r := &Registry{cfg: cfg, done: make(chan struct{}), waiting: map[uint64]chan model.Answer{},
-		model: model.NewRegistry(cfg.RegistryConfig, cfg.Rand)}
-	r.timer = time.AfterFunc(time.Hour, r.tick)
+	r := &Registry{
+		cfg:     cfg,
+		done:    make(chan struct{}),
+		waiting: map[uint64]chan model.Response{},
+		model:   model.NewRegistry(cfg.RegistryConfig, cfg.Rand),
+	}
+	r.timer = time.AfterFunc(time.Hour, r.advance)
 	r.timer.Stop()
 	for node := range cfg.Nodes {
-		g := &gate{hs: http.Server{MaxHeaderBytes: maxHead,
-			Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) { r.serve(node, w, req) })}}
-		if err := g.listen(func(*conn) {}); err != nil {
+		f := &faultListener{}
+		f.httpServer.MaxHeaderBytes = maxHeaderBytes
+		f.httpServer.Handler = http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) { r.serve(node, w, req) })
+		if err := f.listen(func(*conn) {}); err != nil {
 			return nil, errors.Join(err, r.Close())
 		}
-		r.gates = append(r.gates, g)
+		r.listeners = append(r.listeners, f)
 	}
 	return r, nil
 }
 
-// Addr is where a node finds it.
-func (r *Registry) Addr(node int) string { return r.gates[node].addr.String() }
+// Addr is where a node reaches the registry.
+func (r *Registry) Addr(node int) string { return r.listeners[node].addr.String() }
 
-// do lets the model do something now, and what follows from it.
-func (r *Registry) do(f func(now time.Duration)) {
+// withModel calls f with the model at the present time, delivers the responses
+// that are due and sets the timer for the next ones.
+func (r *Registry) withModel(f func(now time.Duration)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(time.Since(r.cfg.Epoch))
-	for _, a := range r.model.Advance(time.Since(r.cfg.Epoch)) {
-		if c := r.waiting[a.Call]; c != nil {
-			delete(r.waiting, a.Call)
-			c <- a
+	for _, response := range r.model.Advance(time.Since(r.cfg.Epoch)) {
+		if waiter := r.waiting[response.CallID]; waiter != nil {
+			delete(r.waiting, response.CallID)
+			waiter <- response
 		}
 	}
 	next, ok := r.model.Next()
@@ -78,49 +85,57 @@
 	r.timer.Reset(next - time.Since(r.cfg.Epoch))
 }
 
-func (r *Registry) tick() { r.do(func(time.Duration) {}) }
+func (r *Registry) advance() { r.withModel(func(time.Duration) {}) }
 
+// serve answers one request of a node.
 func (r *Registry) serve(node int, w http.ResponseWriter, req *http.Request) {
-	if req.URL.Path != listPath || req.Method != http.MethodGet {
+	if req.URL.Path != instancesPath || req.Method != http.MethodGet {
 		http.NotFound(w, req)
 		return
 	}
-	from, hold, err := query(req)
+	from, hold, err := parsePoll(req)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	answer := make(chan model.Answer, 1)
+	waiter := make(chan model.Response, 1)
 	var call uint64
-	r.do(func(now time.Duration) {
+	r.withModel(func(now time.Duration) {
 		call = r.model.Call(now, node, from, hold)
-		r.waiting[call] = answer
+		r.waiting[call] = waiter
 	})
 	select {
-	case a := <-answer:
-		if a.Ending != model.Served {
-			connOf(req).reset()
-			panic(http.ErrAbortHandler)
-		}
-		w.Header().Set("Content-Type", "application/json")
-		w.Header().Set("Content-Length", strconv.Itoa(len(a.Body)))
-		w.Write(a.Body)
+	case response := <-waiter:
+		r.respond(w, req, response)
 		return
-	case <-req.Context().Done(): // the node has gone
+	case <-req.Context().Done(): // the node has hung up
 	case <-r.done:
 	}
-	r.do(func(now time.Duration) {
-		r.model.Hangup(now, call)
+	r.withModel(func(now time.Duration) {
+		r.model.CancelCall(now, call)
 		delete(r.waiting, call)
 	})
 	panic(http.ErrAbortHandler)
 }
 
-// query reads what is asked for; without a version that is the whole list.
-func query(req *http.Request) (from uint64, hold time.Duration, err error) {
+// respond writes what the model answered, or resets the connection.
+func (r *Registry) respond(w http.ResponseWriter, req *http.Request, response model.Response) {
+	if response.Outcome != model.Served {
+		connOf(req).reset()
+		panic(http.ErrAbortHandler)
+	}
+	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("Content-Length", strconv.Itoa(len(response.Body)))
+	w.Write(response.Body)
+}
+
+// parsePoll reads the version that the node has, 0 if it requests the whole
+// list, and how long the call may be held.
+func parsePoll(req *http.Request) (from uint64, hold time.Duration, err error) {
 	q := req.URL.Query()
 	if q.Has("from") {
-		if from, err = strconv.ParseUint(q.Get("from"), 10, 64); err != nil {
+		from, err = strconv.ParseUint(q.Get("from"), 10, 64)
+		if err != nil {
 			return 0, 0, fmt.Errorf("from: %w", err)
 		}
 	}
@@ -134,75 +149,82 @@
 	return from, hold, nil
 }
 
-// Change makes a new version; see [model.Registry.Change].
+// Change makes a new version of the list; see [model.Registry.Change].
 func (r *Registry) Change(entries ...model.Entry) (err error) {
-	r.do(func(now time.Duration) { err = r.model.Change(now, entries...) })
+	r.withModel(func(now time.Duration) { err = r.model.Change(now, entries...) })
 	return err
 }
 
-// Index is the newest version.
-func (r *Registry) Index() (index uint64) {
-	r.do(func(time.Duration) { index = r.model.Index() })
-	return index
+// Version is the newest version of the list.
+func (r *Registry) Version() (version uint64) {
+	r.withModel(func(time.Duration) { version = r.model.Version() })
+	return version
 }
 
-// Refuse makes discovery refuse connections, and resets those that it has; or
-// take them again.
-func (r *Registry) Refuse(on bool) {
-	r.do(func(now time.Duration) {
+// SetRefusing makes the registry reset its connections and refuse new ones, or
+// accept them again.
+func (r *Registry) SetRefusing(on bool) {
+	r.withModel(func(now time.Duration) {
 		if r.refusing == on {
 			return
 		}
 		r.refusing = on
-		r.model.Refuse(now, on)
-		for _, g := range r.gates {
+		r.model.SetRefusing(now, on)
+		for _, f := range r.listeners {
 			if on {
-				g.shut(false)
+				f.stop(false)
 			} else {
-				g.reopen()
+				f.resume()
 			}
 		}
 	})
 }
 
-// Silence makes discovery take calls and say nothing; see [model.Registry.Silence].
-func (r *Registry) Silence(on bool) { r.do(func(now time.Duration) { r.model.Silence(now, on) }) }
+// SetSilent makes the registry accept calls without answering them, or answer
+// again; see [model.Registry.SetSilent].
+func (r *Registry) SetSilent(on bool) {
+	r.withModel(func(now time.Duration) { r.model.SetSilent(now, on) })
+}
 
-// Cut cuts a node off, or ends it; see [model.Registry.Cut]. Connections still
-// come up, but calls that go unanswered do so for good.
-func (r *Registry) Cut(node int, on bool) {
-	r.do(func(now time.Duration) { r.model.Cut(now, node, on) })
+// SetIsolated cuts a node off from discovery, or connects it again; see
+// [model.Registry.SetIsolated]. Its connections are still accepted, and calls
+// that the model leaves without a response never get one.
+func (r *Registry) SetIsolated(node int, on bool) {
+	r.withModel(func(now time.Duration) { r.model.SetIsolated(now, node, on) })
 }
 
-// BreakWatches resets the calls that are held.
-func (r *Registry) BreakWatches() { r.do(r.model.BreakWatches) }
+// ResetWatches resets the calls that are held.
+func (r *Registry) ResetWatches() { r.withModel(r.model.ResetWatches) }
 
-// RegistryStats is what a discovery counts, with the bytes of its connections,
-// heads included.
+// RegistryStats counts what a registry did. The bytes are those of its
+// connections, headers included.
 type RegistryStats struct {
 	model.RegistryStats
-	In, Out int64
+	BytesIn  int64
+	BytesOut int64
 }
 
 // Stats counts over all nodes.
-func (r *Registry) Stats() (st RegistryStats) {
-	r.do(func(time.Duration) { st.RegistryStats = r.model.Stats() })
-	for _, g := range r.gates {
-		st.In += g.in.Load()
-		st.Out += g.out.Load()
+func (r *Registry) Stats() (stats RegistryStats) {
+	r.withModel(func(time.Duration) { stats.RegistryStats = r.model.Stats() })
+	for _, f := range r.listeners {
+		stats.BytesIn += f.bytesIn.Load()
+		stats.BytesOut += f.bytesOut.Load()
 	}
-	return st
+	return stats
 }
 
 // NodeStats counts for one node.
-func (r *Registry) NodeStats(node int) (st RegistryStats) {
-	r.do(func(time.Duration) { st.RegistryStats = r.model.NodeStats(node) })
-	st.In, st.Out = r.gates[node].in.Load(), r.gates[node].out.Load()
-	return st
+func (r *Registry) NodeStats(node int) (stats RegistryStats) {
+	r.withModel(func(time.Duration) { stats.RegistryStats = r.model.NodeStats(node) })
+	stats.BytesIn = r.listeners[node].bytesIn.Load()
+	stats.BytesOut = r.listeners[node].bytesOut.Load()
+	return stats
 }
 
-// Close ends discovery, and returns when nothing of it is left. Its
-// connections are reset. The error tells of a port that was lost on the way.
+// Close resets all connections and returns when the registry's goroutines have
+// ended. The error reports a port that was lost during the run. Later calls do
+// nothing.
 func (r *Registry) Close() error {
 	r.mu.Lock()
 	if r.closed {
@@ -214,8 +236,8 @@
 	r.mu.Unlock()
 	close(r.done)
 	var err error
-	for _, g := range r.gates {
-		err = errors.Join(err, g.close())
+	for _, f := range r.listeners {
+		err = errors.Join(err, f.close())
 	}
 	return err
 }
--- /dev/null
+++ b/internal/lab/emulator/request.go
@@ -0,0 +1,171 @@
+package emulator
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"bankshift/internal/lab/model"
+)
+
+// Headers by which the load generator describes a request to a server. A node
+// passes them on like any other end-to-end header.
+const (
+	WorkHeader   = "X-Lab-Work"   // processor time on a core of speed 1, in whole microseconds
+	ScopeHeader  = "X-Lab-Scope"  // of the idempotency key: all, zone or cell
+	WindowHeader = "X-Lab-Window" // for which the key is remembered, in whole milliseconds
+)
+
+// ServiceTimeHeader is a response header: the seconds from the first byte of
+// the request at the server to its response. The load generator subtracts it
+// to find what a node adds.
+const ServiceTimeHeader = "X-Lab-Held"
+
+// serve answers one request.
+func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
+	c := connOf(r)
+	started := c.requestStarted()
+	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
+		panic(http.ErrAbortHandler) // the request is incomplete
+	}
+	id := r.Header.Get("X-Request-Id")
+	work, err := s.parseWork(r)
+	if id == "" {
+		http.Error(w, "no request id", http.StatusNotFound)
+		return
+	}
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	s.cfg.ExecutionLog.received(id, r, started.Sub(s.cfg.Epoch))
+	defer s.cfg.ExecutionLog.finished(id)
+	if !s.awaitHandshake(r, c) {
+		s.respond(w, r, c, model.ConnectionReset, "")
+		return
+	}
+	if c.emulated.outcome == model.Rejected {
+		w.Header().Set("Connection", "close")
+	}
+	s.respond(w, r, c, s.execute(r, c, id, work), id)
+}
+
+// execute gives the request to the model and waits for its outcome, which is
+// never Accepted.
+func (s *Server) execute(r *http.Request, c *conn, id string, work model.Work) model.Outcome {
+	outcome := c.emulated.outcome
+	if outcome != model.Accepted {
+		return outcome
+	}
+	accepted := &request{id: id, reply: make(chan model.Reply, 1)}
+	s.withModel(func(now time.Duration) {
+		s.lastID++
+		work.ID = s.lastID
+		s.waiting[work.ID] = accepted
+		outcome = s.model.Arrive(now, c.emulated.model, work)
+		if outcome != model.Accepted {
+			delete(s.waiting, work.ID)
+		}
+	})
+	if outcome != model.Accepted {
+		return outcome
+	}
+	select {
+	case reply := <-accepted.reply:
+		return reply.Outcome
+	case <-r.Context().Done(): // the client has closed the connection
+		s.withModel(func(now time.Duration) {
+			s.model.CloseConn(now, c.emulated.model)
+			delete(s.waiting, work.ID)
+		})
+		return model.ConnectionReset
+	case <-s.done:
+		return model.ConnectionReset
+	}
+}
+
+// respond shows the client the outcome of its request.
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, c *conn, outcome model.Outcome, id string) {
+	switch outcome {
+	case model.Served:
+		body := s.responseBody(id)
+		serviceTime := time.Since(c.requestStarted()).Seconds()
+		w.Header().Set(ServiceTimeHeader, strconv.FormatFloat(serviceTime, 'f', 6, 64))
+		w.Write(body)
+	case model.Failed:
+		http.Error(w, "failed", http.StatusInternalServerError)
+	case model.Rejected:
+		w.Header().Set("X-Not-Run", "1")
+		http.Error(w, "full", http.StatusServiceUnavailable)
+	case model.NoResponse:
+		select {
+		case <-r.Context().Done():
+		case <-s.done:
+		}
+		panic(http.ErrAbortHandler)
+	default:
+		if !c.owner.isSilent() {
+			c.reset()
+		}
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// responseBody is the request's id, padded to the configured size.
+func (s *Server) responseBody(id string) []byte {
+	body := make([]byte, max(s.cfg.ResponseBytes, len(id)))
+	for i := range body {
+		body[i] = '.'
+	}
+	copy(body, id)
+	return body
+}
+
+// awaitHandshake waits until the connection's handshake is done. It returns
+// false if the client or the server closes first.
+func (s *Server) awaitHandshake(r *http.Request, c *conn) bool {
+	wait := time.Until(c.emulated.readyAt)
+	if wait <= 0 {
+		return true
+	}
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return true
+	case <-r.Context().Done():
+	case <-s.done:
+	}
+	return false
+}
+
+// parseWork reads the headers that describe a request.
+func (s *Server) parseWork(r *http.Request) (model.Work, error) {
+	work := model.Work{Cost: s.cfg.DefaultWork, Window: s.cfg.DefaultWindow, Key: r.Header.Get("Idempotency-Key")}
+	if err := parseDuration(r.Header, WorkHeader, time.Microsecond, &work.Cost); err != nil {
+		return work, err
+	}
+	if err := parseDuration(r.Header, WindowHeader, time.Millisecond, &work.Window); err != nil {
+		return work, err
+	}
+	var err error
+	work.Scope, err = model.ParseScope(r.Header.Get(ScopeHeader))
+	return work, err
+}
+
+// parseDuration reads a header of whole units into d, which it leaves alone
+// where the header is missing.
+func parseDuration(header http.Header, name string, unit time.Duration, d *time.Duration) error {
+	text := header.Get(name)
+	if text == "" {
+		return nil
+	}
+	count, err := strconv.ParseUint(text, 10, 32)
+	if err != nil {
+		return fmt.Errorf("%s: %w", name, err)
+	}
+	*d = time.Duration(count) * unit
+	return nil
+}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -66,8 +66,8 @@
 	nodes     []*slot
 	servers   []*server // all there ever were
 	places    []*server // who is there now
-	keys      map[string]*model.Keys
-	ledgers   map[string]*emulator.Ledger // by zone
+	keys      map[string]*model.KeyStore
+	ledgers   map[string]*emulator.ExecutionLog // by zone
 	versions  int
 	successor int
 	events    []string
@@ -119,8 +119,8 @@
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
-	m := &run{s: s, ctx: ctx, path: o.Node, dir: dir, epoch: time.Now(), keys: map[string]*model.Keys{},
-		ledgers: map[string]*emulator.Ledger{}}
+	m := &run{s: s, ctx: ctx, path: o.Node, dir: dir, epoch: time.Now(), keys: map[string]*model.KeyStore{},
+		ledgers: map[string]*emulator.ExecutionLog{}}
 	if m.path == "" {
 		if m.path, err = Build(ctx, dir); err != nil {
 			cancel()
@@ -161,7 +161,7 @@
 	}
 	report, err := load.Play(ctx, load.Config{Route: m.route, Connections: s.Traffic.Connections, Retries: s.Traffic.Retries,
 		Backoff: s.Traffic.Backoff.Std(), MarkRetries: true, Slack: answerSlack, LateBound: time.Duration(latePart * float64(aim)),
-		ServerTime: emulator.HeldHeader, Done: x.done}, stream)
+		ServerTime: emulator.ServiceTimeHeader, Done: x.done}, stream)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -183,8 +183,8 @@
 	m.meanCost = time.Duration(cost / parts * float64(time.Second))
 	var err error
 	if m.registry, err = emulator.NewRegistry(emulator.RegistryConfig{Epoch: m.epoch, Rand: m.rand(3 << 32),
-		RegistryConfig: model.RegistryConfig{Nodes: s.Fleet.Nodes, Asked: s.Disco.Asked, Delay: s.Disco.Delay.Std(),
-			Spread: s.Disco.Spread.Std(), Answer: s.Disco.Answer.Std()}}); err != nil {
+		RegistryConfig: model.RegistryConfig{Nodes: s.Fleet.Nodes, OnDemand: s.Disco.Asked, Delay: s.Disco.Delay.Std(),
+			DelaySpread: s.Disco.Spread.Std(), ResponseTime: s.Disco.Answer.Std()}}); err != nil {
 		return err
 	}
 	var entries []model.Entry
@@ -280,9 +280,9 @@
 		Index    uint64        `json:"index"`
 		Snapshot bool          `json:"snapshot"`
 		Entries  []model.Entry `json:"endpoints"`
-	}{Index: m.registry.Index(), Snapshot: true, Entries: []model.Entry{}}
+	}{Index: m.registry.Version(), Snapshot: true, Entries: []model.Entry{}}
 	for _, sv := range m.places {
-		if sv.entry.Status != model.Gone {
+		if sv.entry.Status != model.Removed {
 			list.Entries = append(list.Entries, sv.entry)
 		}
 	}
@@ -421,9 +421,9 @@
 }
 
 // ledger is that of a zone's servers.
-func (m *run) ledger(zone string) *emulator.Ledger {
+func (m *run) ledger(zone string) *emulator.ExecutionLog {
 	if m.ledgers[zone] == nil {
-		m.ledgers[zone] = &emulator.Ledger{}
+		m.ledgers[zone] = &emulator.ExecutionLog{}
 	}
 	return m.ledgers[zone]
 }
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -117,7 +117,7 @@
 	}
 	for _, sv := range m.servers {
 		st := sv.at.Stats()
-		s.work, s.wasted, s.falls = s.work+st.Work, s.wasted+st.Wasted, s.falls+st.Falls
+		s.work, s.wasted, s.falls = s.work+st.Work, s.wasted+st.Wasted, s.falls+st.Crashes
 	}
 	s.versions = m.versions
 	return s
@@ -125,7 +125,7 @@
 
 func (s snapshot) bytes() (sum int64) {
 	for _, l := range s.lists {
-		sum += l.In + l.Out
+		sum += l.BytesIn + l.BytesOut
 	}
 	return sum
 }
@@ -227,7 +227,7 @@
 				if !ok {
 					continue
 				}
-				runs, copies, overlaps = runs+seen.Runs, copies+seen.Copies, overlaps+seen.Overlaps
+				runs, copies, overlaps = runs+seen.Executions, copies+seen.Copies, overlaps+seen.Overlaps
 				if r.At < m.s.Warm.Std() || z == home {
 					continue
 				}
@@ -264,10 +264,10 @@
 	c := &r.Control
 	for i, to := range x.to.lists {
 		from := x.from.lists[i]
-		b := to.In + to.Out - from.In - from.Out
+		b := to.BytesIn + to.BytesOut - from.BytesIn - from.BytesOut
 		c.Bytes += b
 		c.Calls += to.Calls - from.Calls
-		c.Lists += to.Whole - from.Whole
+		c.Lists += to.Snapshots - from.Snapshots
 		c.WorstRate = max(c.WorstRate, float64(b)/r.Seconds)
 	}
 	c.NodeRate = float64(c.Bytes) / r.Seconds / float64(r.Nodes)
--- a/internal/lab/fleet/servers.go
+++ b/internal/lab/fleet/servers.go
@@ -24,13 +24,13 @@
 func (m *run) newServer(i int) (*server, error) {
 	c, who := m.s.Servers, m.s.Server(i)
 	m.mu.Lock()
-	cfg := emulator.ServerConfig{Epoch: m.epoch, Rand: m.rand(4<<32 + uint64(i)), Ledger: m.ledger(who.Zone),
-		ServerConfig: model.ServerConfig{Cores: who.Kind.Cores, Speed: who.Kind.Speed, Queue: c.Queue, Connections: c.Connections,
-			Handshake: c.Handshake.Std(), IdleClose: c.IdleClose.Std(), ColdFrom: c.ColdFrom, ColdTime: c.ColdTime.Std(),
-			FallFactor: c.FallFactor, FallTime: c.FallTime.Std(), FallRest: c.FallRest.Std(), MeanCost: m.meanCost,
-			FailingPart: c.FailingPart}}
+	cfg := emulator.ServerConfig{Epoch: m.epoch, Rand: m.rand(4<<32 + uint64(i)), ExecutionLog: m.ledger(who.Zone),
+		ServerConfig: model.ServerConfig{Cores: who.Kind.Cores, Speed: who.Kind.Speed, QueueLimit: c.Queue, MaxConnections: c.Connections,
+			Handshake: c.Handshake.Std(), IdleTimeout: c.IdleClose.Std(), ColdCapacity: c.ColdFrom, WarmupTime: c.ColdTime.Std(),
+			CrashFactor: c.FallFactor, CrashWindow: c.FallTime.Std(), CrashDowntime: c.FallRest.Std(), MeanCost: m.meanCost,
+			FailureRate: c.FailingPart}}
 	if c.Dedup {
-		cfg.Keys = [...]*model.Keys{model.ScopeAll: m.keysOf("all"), model.ScopeZone: m.keysOf("zone " + who.Zone),
+		cfg.KeyStores = [...]*model.KeyStore{model.ScopeAll: m.keysOf("all"), model.ScopeZone: m.keysOf("zone " + who.Zone),
 			model.ScopeCell: m.keysOf(fmt.Sprint("cell ", who.Cell))}
 	}
 	m.mu.Unlock()
@@ -46,9 +46,9 @@
 	return sv, nil
 }
 
-func (m *run) keysOf(scope string) *model.Keys {
+func (m *run) keysOf(scope string) *model.KeyStore {
 	if m.keys[scope] == nil {
-		m.keys[scope] = &model.Keys{}
+		m.keys[scope] = &model.KeyStore{}
 	}
 	return m.keys[scope]
 }
@@ -57,7 +57,7 @@
 func (m *run) list(sv *server, change func(*model.Entry)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if sv.entry.Status == model.Gone {
+	if sv.entry.Status == model.Removed {
 		return
 	}
 	change(&sv.entry)
@@ -70,7 +70,7 @@
 // start starts a server's process, cold, and lists it so.
 func (m *run) start(sv *server) {
 	m.mu.Lock()
-	gone := sv.entry.Status == model.Gone
+	gone := sv.entry.Status == model.Removed
 	m.mu.Unlock()
 	if gone { // it was replaced meanwhile
 		return
@@ -134,17 +134,17 @@
 		case "restart-servers":
 			each(func(sv *server) { sv.at.Kill() }, m.start)
 		case "lose-servers":
-			each(func(sv *server) { sv.at.Lose() }, m.start)
+			each(func(sv *server) { sv.at.Disconnect() }, m.start)
 		case "replace-servers":
 			each(func(sv *server) { m.replace(sv, k.Index) }, nil)
 		case "drain-servers":
 			each(func(sv *server) { m.list(sv, status(model.Draining)) }, func(sv *server) { m.list(sv, status(model.Ready)) })
 		case "hang-servers":
-			each(func(sv *server) { sv.at.Hang(true) }, func(sv *server) { sv.at.Hang(false) })
+			each(func(sv *server) { sv.at.SetHung(true) }, func(sv *server) { sv.at.SetHung(false) })
 		case "slow-servers":
-			each(func(sv *server) { sv.at.Slow(e.By) }, func(sv *server) { sv.at.Slow(1) })
+			each(func(sv *server) { sv.at.SetSlowdown(e.By) }, func(sv *server) { sv.at.SetSlowdown(1) })
 		case "fail-servers":
-			each(func(sv *server) { sv.at.Fail(1) }, func(sv *server) { sv.at.Fail(-1) })
+			each(func(sv *server) { sv.at.SetFailureRate(1) }, func(sv *server) { sv.at.SetFailureRate(-1) })
 		case "kill-nodes":
 			m.at(k.At, func() { m.away(m.nodes[k.Index], false, func(p *Process) error { p.Kill(); return nil }) })
 		case "restart-nodes":
@@ -154,11 +154,11 @@
 				m.list(sv, func(e *model.Entry) { e.Weight = 1 + 0.01*float64(m.versions%10) })
 			}, nil)
 		case "discovery-down":
-			both(m.registry.Refuse)
+			both(m.registry.SetRefusing)
 		case "discovery-silent":
-			both(m.registry.Silence)
+			both(m.registry.SetSilent)
 		case "watches-break":
-			m.at(k.At, m.registry.BreakWatches)
+			m.at(k.At, m.registry.ResetWatches)
 		case "burst": // the arrivals have it
 		}
 	}
@@ -178,7 +178,7 @@
 	m.list(sv, func(e *model.Entry) { e.Status = model.Draining })
 	m.at(time.Since(m.t0)+2*m.s.Disco.DrainGrace.Std(), func() {
 		sv.at.Kill()
-		m.list(sv, func(e *model.Entry) { e.Status = model.Gone })
+		m.list(sv, func(e *model.Entry) { e.Status = model.Removed })
 		m.mu.Lock()
 		m.successor++
 		number := place + m.successor*m.s.Servers.Count
--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -209,8 +209,8 @@
 		m.tenants = append(m.tenants, scenario.TenantName(t))
 	}
 	m.measure.init(m)
-	m.registry = model.NewRegistry(model.RegistryConfig{Nodes: s.Fleet.Nodes, Asked: s.Disco.Asked, Delay: s.Disco.Delay.Std(),
-		Spread: s.Disco.Spread.Std(), Answer: s.Disco.Answer.Std()}, rand.New(rand.NewPCG(s.Seed, 3<<32)))
+	m.registry = model.NewRegistry(model.RegistryConfig{Nodes: s.Fleet.Nodes, OnDemand: s.Disco.Asked, Delay: s.Disco.Delay.Std(),
+		DelaySpread: s.Disco.Spread.Std(), ResponseTime: s.Disco.Answer.Std()}, rand.New(rand.NewPCG(s.Seed, 3<<32)))
 	m.buildServers()
 	m.heapBefore = heapNow()
 	if err := m.buildNodes(); err != nil {
@@ -257,10 +257,10 @@
 // known is the list now, as a configuration has it.
 func (m *sim) known() json.RawMessage {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, `{"index":%d,"snapshot":true,"endpoints":[`, m.registry.Index())
+	fmt.Fprintf(&b, `{"index":%d,"snapshot":true,"endpoints":[`, m.registry.Version())
 	first := true
 	for _, sv := range m.servers {
-		if sv.entry.Status == model.Gone || sv.entry.Status == "" {
+		if sv.entry.Status == model.Removed || sv.entry.Status == "" {
 			continue
 		}
 		if !first {
--- a/internal/lab/hollow/measure.go
+++ b/internal/lab/hollow/measure.go
@@ -51,7 +51,7 @@
 	}
 
 	meanCost    time.Duration
-	keys        map[string]*model.Keys
+	keys        map[string]*model.KeyStore
 	generations int
 }
 
@@ -270,11 +270,11 @@
 	}
 	sv.pushes = append(sv.pushes[from:], push{m.now, m.now >= m.toldAt(n, sv.started)})
 	st := sv.model.Stats()
-	m.second().push = math.Max(m.second().push, st.WorstPush)
-	if st.Falls == sv.falls {
+	m.second().push = math.Max(m.second().push, st.WorstColdLoad)
+	if st.Crashes == sv.falls {
 		return
 	}
-	sv.falls = st.Falls
+	sv.falls = st.Crashes
 	if m.measured(m.now) {
 		m.r.Falls++
 	}
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -346,7 +346,7 @@
 
 func (n *hnode) hangup() {
 	if n.callID != 0 {
-		n.m.registry.Hangup(n.m.now, n.callID)
+		n.m.registry.CancelCall(n.m.now, n.callID)
 		n.m.wakeRegistry()
 		n.callID = 0
 	}
@@ -362,19 +362,19 @@
 }
 
 // told takes the end of a call.
-func (n *hnode) told(a model.Answer) {
+func (n *hnode) told(a model.Response) {
 	m := n.m
-	if n.dead || a.Call != n.callID {
+	if n.dead || a.CallID != n.callID {
 		return
 	}
 	call := n.call
 	n.callID = 0
-	if a.Ending != model.Served {
+	if a.Outcome != model.Served {
 		n.callFailed(call)
 		return
 	}
 	m.listBytes(n, len(a.Body))
-	if a.Whole {
+	if a.Snapshot {
 		m.second().whole++
 	}
 	l, err := m.decode(a.Body)
--- a/internal/lab/hollow/pool.go
+++ b/internal/lab/hollow/pool.go
@@ -153,7 +153,7 @@
 	m, sv, zone := c.pool.n.m, c.of.server, c.pool.n.zone
 	m.at(max(c.last, m.now+m.delay(zone, sv.zone)), func() {
 		if m.reach(zone, sv.zone) {
-			sv.model.Disconnect(m.now, c.model)
+			sv.model.CloseConn(m.now, c.model)
 			m.wakeServer(sv)
 		}
 	})
@@ -277,8 +277,8 @@
 	switch ending {
 	case model.Accepted:
 		m.second().handshakes++
-	case model.Full:
-	case model.Refused:
+	case model.Rejected:
+	case model.ConnectionRefused:
 		n.later(back, func() {
 			if a.dialling() && m.reach(n.zone, sv.zone) {
 				a.finish(balancer.ConnectFailed)
@@ -333,7 +333,7 @@
 	if a.r.class.Effect == "keyed" {
 		work.Key, work.Scope, work.Window = a.r.client.key, a.r.class.scope, a.r.class.Window.Std()
 	}
-	ending := model.Full
+	ending := model.Rejected
 	if c.model != nil {
 		ending = sv.model.Arrive(m.now, c.model, work)
 		m.pushed(sv, a.n)
@@ -341,13 +341,13 @@
 	switch ending {
 	case model.Accepted:
 		sv.out[work.ID] = a
-	case model.Nothing:
+	case model.NoResponse:
 		m.second().absent++
 	default:
-		if ending != model.Full {
+		if ending != model.Rejected {
 			m.second().absent++
 		}
-		m.reply(a, model.Reply{Ending: ending, At: m.now})
+		m.reply(a, model.Reply{Outcome: ending, At: m.now})
 	}
 	m.wakeServer(sv)
 }
@@ -363,10 +363,10 @@
 		if a.state != waiting || !m.reach(sv.zone, a.n.zone) {
 			return
 		}
-		switch reply.Ending {
+		switch reply.Outcome {
 		case model.Served:
 			a.finish(balancer.OK)
-		case model.Full:
+		case model.Rejected:
 			a.finish(balancer.Rejected)
 		case model.Failed:
 			a.finish(balancer.ServerError)
--- a/internal/lab/hollow/server.go
+++ b/internal/lab/hollow/server.go
@@ -42,7 +42,7 @@
 		mean, parts = mean+c.Part*c.Work.Seconds(), parts+c.Part
 	}
 	m.meanCost = time.Duration(mean / parts * float64(time.Second))
-	m.keys = map[string]*model.Keys{}
+	m.keys = map[string]*model.KeyStore{}
 	var entries []model.Entry
 	for i := range s.Servers.Count {
 		sv := m.newServer(i)
@@ -58,11 +58,11 @@
 	c := m.s.Servers
 	who := m.s.Server(i)
 	sv := &server{Server: who, zone: m.zoneOf[who.Zone], wake: discovery.Never, out: map[uint64]*attempt{}, lostAt: -1}
-	cfg := model.ServerConfig{Cores: who.Kind.Cores, Speed: who.Kind.Speed, Queue: c.Queue, Connections: c.Connections,
-		Handshake: c.Handshake.Std(), IdleClose: c.IdleClose.Std(), ColdFrom: c.ColdFrom, ColdTime: c.ColdTime.Std(),
-		FallFactor: c.FallFactor, FallTime: c.FallTime.Std(), FallRest: c.FallRest.Std(), MeanCost: m.meanCost, FailingPart: c.FailingPart}
+	cfg := model.ServerConfig{Cores: who.Kind.Cores, Speed: who.Kind.Speed, QueueLimit: c.Queue, MaxConnections: c.Connections,
+		Handshake: c.Handshake.Std(), IdleTimeout: c.IdleClose.Std(), ColdCapacity: c.ColdFrom, WarmupTime: c.ColdTime.Std(),
+		CrashFactor: c.FallFactor, CrashWindow: c.FallTime.Std(), CrashDowntime: c.FallRest.Std(), MeanCost: m.meanCost, FailureRate: c.FailingPart}
 	if c.Dedup {
-		cfg.Keys = [...]*model.Keys{model.ScopeAll: m.keysOf("all"), model.ScopeZone: m.keysOf(who.Zone),
+		cfg.KeyStores = [...]*model.KeyStore{model.ScopeAll: m.keysOf("all"), model.ScopeZone: m.keysOf(who.Zone),
 			model.ScopeCell: m.keysOf(fmt.Sprint(who.Cell))}
 	}
 	sv.model = model.NewServer(cfg, rand.New(rand.NewPCG(m.s.Seed, 4<<32+uint64(i))))
@@ -74,9 +74,9 @@
 	return sv
 }
 
-func (m *sim) keysOf(scope string) *model.Keys {
+func (m *sim) keysOf(scope string) *model.KeyStore {
 	if m.keys[scope] == nil {
-		m.keys[scope] = &model.Keys{}
+		m.keys[scope] = &model.KeyStore{}
 	}
 	return m.keys[scope]
 }
@@ -95,13 +95,13 @@
 	sv.entry.Status = status
 	m.publish(sv.entry)
 	if sv.left = 0; status != model.Ready {
-		sv.left = m.registry.Index()
+		sv.left = m.registry.Version()
 	}
 }
 
 // start starts a server's process, cold, and lists it so.
 func (m *sim) start(sv *server) {
-	if sv.entry.Status == model.Gone {
+	if sv.entry.Status == model.Removed {
 		return // it was replaced meanwhile
 	}
 	sv.model.Start(m.now)
@@ -118,7 +118,7 @@
 	sv.since, sv.pushes = at, nil
 	sv.entry.SinceMS = (epoch + at).Milliseconds()
 	m.status(sv, cmp.Or(sv.entry.Status, model.Ready))
-	sv.started = m.registry.Index()
+	sv.started = m.registry.Version()
 }
 
 // wakeServer has a server looked at when its model next does something.
@@ -249,13 +249,13 @@
 				}
 			})
 		case "hang-servers":
-			each(func(sv *server) { sv.model.Hang(m.now, true) }, func(sv *server) { sv.model.Hang(m.now, false) })
+			each(func(sv *server) { sv.model.SetHung(m.now, true) }, func(sv *server) { sv.model.SetHung(m.now, false) })
 		case "slow-servers":
-			each(func(sv *server) { sv.model.Slow(m.now, e.By) }, func(sv *server) { sv.model.Slow(m.now, 1) })
+			each(func(sv *server) { sv.model.SetSlowdown(m.now, e.By) }, func(sv *server) { sv.model.SetSlowdown(m.now, 1) })
 		case "fail-servers":
-			each(func(sv *server) { sv.model.Fail(m.now, 1) }, func(sv *server) { sv.model.Fail(m.now, -1) })
+			each(func(sv *server) { sv.model.SetFailureRate(m.now, 1) }, func(sv *server) { sv.model.SetFailureRate(m.now, -1) })
 		case "lose-servers":
-			each(func(sv *server) { sv.lostAt = m.now; sv.model.Lose(m.now) }, m.start)
+			each(func(sv *server) { sv.lostAt = m.now; sv.model.Disconnect(m.now) }, m.start)
 		case "cut":
 			m.planCut(e, at, until)
 		case "kill-nodes":
@@ -264,21 +264,21 @@
 			on(func() { m.nodes[k.Index].leave() })
 		case "change-lists":
 			on(func() {
-				if sv := m.places[k.Index]; sv.entry.Status != model.Gone {
+				if sv := m.places[k.Index]; sv.entry.Status != model.Removed {
 					sv.entry.Weight = 1 + 0.01*float64(len(m.versions)%10)
 					m.publish(sv.entry)
 				}
 			})
 		case "discovery-down":
 			m.stops = append(m.stops, stop{from: at, to: until})
-			on(func() { m.registry.Refuse(m.now, true); m.wakeRegistry() })
-			off(func() { m.registry.Refuse(m.now, false); m.wakeRegistry() })
+			on(func() { m.registry.SetRefusing(m.now, true); m.wakeRegistry() })
+			off(func() { m.registry.SetRefusing(m.now, false); m.wakeRegistry() })
 		case "discovery-silent":
 			m.stops = append(m.stops, stop{from: at, to: until})
-			on(func() { m.registry.Silence(m.now, true); m.wakeRegistry() })
-			off(func() { m.registry.Silence(m.now, false); m.wakeRegistry() })
+			on(func() { m.registry.SetSilent(m.now, true); m.wakeRegistry() })
+			off(func() { m.registry.SetSilent(m.now, false); m.wakeRegistry() })
 		case "watches-break":
-			on(func() { m.registry.BreakWatches(m.now); m.wakeRegistry() })
+			on(func() { m.registry.ResetWatches(m.now); m.wakeRegistry() })
 		case "burst": // the arrivals have it
 		}
 	}
@@ -302,7 +302,7 @@
 	m.at(m.now+2*m.s.Disco.DrainGrace.Std(), func() {
 		sv.model.Kill(m.now)
 		m.wakeServer(sv)
-		m.status(sv, model.Gone)
+		m.status(sv, model.Removed)
 		m.generations++
 		next := m.newServer(place + m.generations*m.s.Servers.Count)
 		m.places[place] = next
@@ -319,7 +319,7 @@
 	cut := func(on bool) {
 		for _, n := range m.nodes {
 			if inside[n.zone] {
-				m.registry.Cut(m.now, n.index, on)
+				m.registry.SetIsolated(m.now, n.index, on)
 			}
 		}
 		m.wakeRegistry()
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -39,26 +39,26 @@
 }
 
 // Ending says how a server ends a request or a connection, or discovery a call.
-type Ending int
+type Outcome int
 
 const (
-	Accepted Ending = iota // not ended: it is under way, or the connection is up
-	Served                 // 200
-	Failed                 // 500; it has run
-	Full                   // 503 with X-Not-Run: never ran
-	Broken                 // the connection breaks; it may have run
-	Refused                // the connection does not come up: never ran
-	Nothing                // no answer ever
+	Accepted          Outcome = iota // not ended: it is under way, or the connection is up
+	Served                           // 200
+	Failed                           // 500; it has run
+	Rejected                         // 503 with X-Not-Run: never ran
+	ConnectionReset                  // the connection breaks; it may have run
+	ConnectionRefused                // the connection does not come up: never ran
+	NoResponse                       // no answer ever
 )
 
-var endings = [...]string{"accepted", "served", "failed", "full", "broken", "refused", "nothing"}
+var outcomeNames = [...]string{"accepted", "served", "failed", "full", "broken", "refused", "nothing"}
 
 // String names the ending.
-func (e Ending) String() string {
-	if e < 0 || int(e) >= len(endings) {
+func (e Outcome) String() string {
+	if e < 0 || int(e) >= len(outcomeNames) {
 		return fmt.Sprintf("Ending(%d)", int(e))
 	}
-	return endings[e]
+	return outcomeNames[e]
 }
 
 // Work is one request as it reaches a server.
@@ -72,10 +72,10 @@
 
 // Reply is how a server ends a request that it had accepted.
 type Reply struct {
-	ID     uint64
-	Ending Ending // never Accepted, Refused or Nothing
-	At     time.Duration
-	Repeat bool // its key was known: it did not run again
+	ID      uint64
+	Outcome Outcome // never Accepted, Refused or Nothing
+	At      time.Duration
+	Repeat  bool // its key was known: it did not run again
 }
 
 // Scope is the set of servers that share which keys they have seen.
@@ -102,40 +102,40 @@
 
 // Keys is the memory of idempotency keys that the servers of one scope share.
 // The zero value is ready for use, and it is safe for concurrent use.
-type Keys struct {
-	mu    sync.Mutex
-	until map[string]time.Duration // when it is forgotten
-	sweep int                      // size at which what is forgotten is thrown out
+type KeyStore struct {
+	mu        sync.Mutex
+	expiry    map[string]time.Duration // when it is forgotten
+	sweepSize int                      // size at which what is forgotten is thrown out
 }
 
-const leastSweep = 1024 // keys; below, throwing out is not worth its time
+const minSweepSize = 1024 // keys; below, throwing out is not worth its time
 
 // begin notes that a request with the key begins to run. It returns false if
 // the key is known, and the request is a repeat.
-func (k *Keys) begin(now time.Duration, key string, window time.Duration) bool {
+func (k *KeyStore) beginRun(now time.Duration, key string, window time.Duration) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if until, ok := k.until[key]; ok && now < until {
+	if until, ok := k.expiry[key]; ok && now < until {
 		return false
 	}
-	if k.until == nil {
-		k.until = map[string]time.Duration{}
+	if k.expiry == nil {
+		k.expiry = map[string]time.Duration{}
 	}
-	if len(k.until) >= max(k.sweep, leastSweep) {
-		for key, until := range k.until {
+	if len(k.expiry) >= max(k.sweepSize, minSweepSize) {
+		for key, until := range k.expiry {
 			if until <= now {
-				delete(k.until, key)
+				delete(k.expiry, key)
 			}
 		}
-		k.sweep = 2 * len(k.until) // so that a sweep costs each key a constant
+		k.sweepSize = 2 * len(k.expiry) // so that a sweep costs each key a constant
 	}
-	k.until[key] = now + window
+	k.expiry[key] = now + window
 	return true
 }
 
 // forget takes a key back whose run had no effect.
-func (k *Keys) forget(key string) {
+func (k *KeyStore) forget(key string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	delete(k.until, key)
+	delete(k.expiry, key)
 }
--- a/internal/lab/model/registry_test.go
+++ b/internal/lab/model/registry_test.go
@@ -19,13 +19,13 @@
 	Endpoints []Entry
 }
 
-func decode(t *testing.T, a Answer) told {
+func decode(t *testing.T, a Response) told {
 	t.Helper()
 	var l told
 	if err := json.Unmarshal(a.Body, &l); err != nil {
 		t.Fatalf("%v in %s", err, a.Body)
 	}
-	if l.Index != a.Index || l.Snapshot != a.Whole || len(l.Endpoints) != a.Lines {
+	if l.Index != a.Version || l.Snapshot != a.Snapshot || len(l.Endpoints) != a.Entries {
 		t.Errorf("%+v does not describe %s", a, a.Body)
 	}
 	return l
@@ -37,7 +37,7 @@
 }
 
 // only takes the one answer that is due.
-func only(t *testing.T, r *Registry, now time.Duration) Answer {
+func only(t *testing.T, r *Registry, now time.Duration) Response {
 	t.Helper()
 	out := r.Advance(now)
 	if len(out) != 1 {
@@ -57,7 +57,7 @@
 	if a := only(t, r, 0); string(a.Body) != want {
 		t.Errorf("%s\nwant %s", a.Body, want)
 	}
-	if r.Change(0, Entry{Name: "s", Status: "odd"}) == nil || r.Change(0, Entry{Status: Ready}) == nil || r.Index() != 1 {
+	if r.Change(0, Entry{Name: "s", Status: "odd"}) == nil || r.Change(0, Entry{Status: Ready}) == nil || r.Version() != 1 {
 		t.Error("took an entry that is none")
 	}
 }
@@ -67,11 +67,11 @@
 func TestListsAtVersions(t *testing.T) {
 	const nodes, steps = 20, 300
 	rng := rand.New(rand.NewPCG(5, 6))
-	r := NewRegistry(RegistryConfig{Nodes: nodes, Delay: 5 * ms, Spread: 40 * ms, Log: 30}, rng)
+	r := NewRegistry(RegistryConfig{Nodes: nodes, Delay: 5 * ms, DelaySpread: 40 * ms, LogLength: 30}, rng)
 	truth := []map[string]Entry{{}}
 	held := make([]map[string]Entry, nodes)
 	at := make([]uint64, nodes)
-	r.Cut(0, 3, true) // for most of the time
+	r.SetIsolated(0, 3, true) // for most of the time
 	for i := range steps {
 		now := time.Duration(i) * ms
 		next := map[string]Entry{}
@@ -80,10 +80,10 @@
 		}
 		var changed []Entry
 		for range 1 + rng.IntN(4) {
-			e := server(rng.IntN(40), []string{Ready, Draining, Gone}[rng.IntN(3)])
+			e := server(rng.IntN(40), []string{Ready, Draining, Removed}[rng.IntN(3)])
 			e.Weight = float64(i)
 			changed = append(changed, e)
-			if next[e.Name] = e; e.Status == Gone {
+			if next[e.Name] = e; e.Status == Removed {
 				delete(next, e.Name)
 			}
 		}
@@ -92,7 +92,7 @@
 			t.Fatal(err)
 		}
 		if i == steps-20 {
-			r.Cut(now, 3, false)
+			r.SetIsolated(now, 3, false)
 		}
 		n := rng.IntN(nodes)
 		r.Call(now, n, 0, 0)
@@ -101,23 +101,23 @@
 		}
 		for _, a := range r.Advance(now) {
 			l := decode(t, a)
-			if a.Whole || held[n] == nil {
+			if a.Snapshot || held[n] == nil {
 				held[n] = map[string]Entry{}
 			}
 			for _, e := range l.Endpoints {
-				if held[n][e.Name] = e; e.Status == Gone {
+				if held[n][e.Name] = e; e.Status == Removed {
 					delete(held[n], e.Name)
 				}
 			}
-			if at[n] = a.Index; !reflect.DeepEqual(held[n], truth[a.Index]) {
-				t.Fatalf("step %d, node %d: version %d (whole %v) is told wrongly", i, n, a.Index, a.Whole)
+			if at[n] = a.Version; !reflect.DeepEqual(held[n], truth[a.Version]) {
+				t.Fatalf("step %d, node %d: version %d (whole %v) is told wrongly", i, n, a.Version, a.Snapshot)
 			}
-			if late := now - time.Duration(a.Index)*ms; n != 3 && late > r.Delay(n) { // version i+1 came at i
-				t.Fatalf("node %d is at version %d at %v with a delay of %v", n, a.Index, now, r.Delay(n))
+			if late := now - time.Duration(a.Version)*ms; n != 3 && late > r.Delay(n) { // version i+1 came at i
+				t.Fatalf("node %d is at version %d at %v with a delay of %v", n, a.Version, now, r.Delay(n))
 			}
 		}
 	}
-	if r.stats.Whole == r.stats.Answers || len(r.log) > 80 {
+	if r.stats.Snapshots == r.stats.Responses || len(r.log) > 80 {
 		t.Errorf("%+v with %d versions in the log", r.stats, len(r.log))
 	}
 }
@@ -130,38 +130,38 @@
 	if next, ok := r.Next(); !ok || next != 150*ms {
 		t.Errorf("released at %v", next)
 	}
-	if a := only(t, r, 150*ms); a.At != 150*ms || a.Whole || a.Lines != 0 || a.Index != 1 {
+	if a := only(t, r, 150*ms); a.At != 150*ms || a.Snapshot || a.Entries != 0 || a.Version != 1 {
 		t.Errorf("%+v", a)
 	}
 	id := r.Call(150*ms, 0, 1, time.Hour) // by a change; a hold has a limit
-	if next, _ := r.Next(); next != 150*ms+mostHold {
+	if next, _ := r.Next(); next != 150*ms+maxHold {
 		t.Errorf("held until %v", next)
 	}
 	r.Change(200*ms, server(0, Draining))
 	r.Change(205*ms, server(1, Ready))
-	if a := only(t, r, 300*ms); a.At != 210*ms || a.Call != id || a.Index != 2 || decode(t, a).Endpoints[0].Status != Draining {
+	if a := only(t, r, 300*ms); a.At != 210*ms || a.CallID != id || a.Version != 2 || decode(t, a).Endpoints[0].Status != Draining {
 		t.Errorf("%+v", a)
 	}
 	r.Call(300*ms, 0, 2, time.Second) // what came meanwhile
-	if a := only(t, r, 300*ms); a.Index != 3 || a.Whole || a.Lines != 1 {
+	if a := only(t, r, 300*ms); a.Version != 3 || a.Snapshot || a.Entries != 1 {
 		t.Errorf("%+v", a)
 	}
 	r.Call(300*ms, 0, 99, time.Second) // a version of another discovery
-	if a := only(t, r, 300*ms); a.Index != 3 || !a.Whole {
+	if a := only(t, r, 300*ms); a.Version != 3 || !a.Snapshot {
 		t.Errorf("%+v", a)
 	}
 	id = r.Call(300*ms, 0, 3, time.Second)
 	r.Call(300*ms, 1, 3, time.Second)
-	r.Hangup(301*ms, id)
-	r.BreakWatches(302 * ms)
-	if a := only(t, r, 302*ms); a.Ending != Broken || a.Node != 1 || r.Held() != 0 {
+	r.CancelCall(301*ms, id)
+	r.ResetWatches(302 * ms)
+	if a := only(t, r, 302*ms); a.Outcome != ConnectionReset || a.Node != 1 || r.HeldCalls() != 0 {
 		t.Errorf("%+v", a)
 	}
 }
 
 func TestOutages(t *testing.T) {
 	for _, asked := range []bool{false, true} {
-		r := NewRegistry(RegistryConfig{Nodes: 2, Asked: asked}, nil)
+		r := NewRegistry(RegistryConfig{Nodes: 2, OnDemand: asked}, nil)
 		r.Change(0, server(0, Ready))
 		quiet := func(what string, now time.Duration) {
 			t.Helper()
@@ -170,41 +170,41 @@
 			}
 		}
 		r.Call(0, 0, 1, time.Second)
-		r.Silence(1*ms, true)
+		r.SetSilent(1*ms, true)
 		r.Change(2*ms, server(0, Draining))
 		r.Call(3*ms, 0, 0, 0)
-		r.Silence(4*ms, false)
+		r.SetSilent(4*ms, false)
 		quiet("a silence", time.Minute)
 		r.Call(time.Minute, 0, 1, time.Second)
-		if a := only(t, r, time.Minute); a.Index != 2 || a.Whole {
+		if a := only(t, r, time.Minute); a.Version != 2 || a.Snapshot {
 			t.Errorf("after a silence: %+v", a)
 		}
 
 		r.Call(time.Minute, 0, 2, time.Second)
-		r.Refuse(time.Minute, true)
+		r.SetRefusing(time.Minute, true)
 		r.Call(time.Minute, 1, 0, 0)
-		if out := r.Advance(time.Minute); len(out) != 2 || out[0].Ending != Broken || out[1].Ending != Refused {
+		if out := r.Advance(time.Minute); len(out) != 2 || out[0].Outcome != ConnectionReset || out[1].Outcome != ConnectionRefused {
 			t.Errorf("an outage: %+v", out)
 		}
-		r.Refuse(time.Minute, false)
+		r.SetRefusing(time.Minute, false)
 
 		r.Call(time.Minute, 0, 2, time.Second)
-		r.Cut(time.Minute, 0, true)
+		r.SetIsolated(time.Minute, 0, true)
 		r.Change(time.Minute, server(1, Ready))
-		if r.Version(time.Minute, 0) != 2 || r.Version(time.Minute, 1) != 3 {
+		if r.NodeVersion(time.Minute, 0) != 2 || r.NodeVersion(time.Minute, 1) != 3 {
 			t.Error("a cut keeps a node, and no other, from learning")
 		}
 		if asked { // its calls get nowhere
 			quiet("a cut", 2*time.Minute)
-			r.Cut(2*time.Minute, 0, false)
+			r.SetIsolated(2*time.Minute, 0, false)
 			quiet("after a cut", 3*time.Minute)
 		} else { // its agent goes on, with what it has
-			if a := only(t, r, 2*time.Minute); a.At != time.Minute+time.Second || a.Lines != 0 {
+			if a := only(t, r, 2*time.Minute); a.At != time.Minute+time.Second || a.Entries != 0 {
 				t.Errorf("a cut: %+v", a)
 			}
 			r.Call(2*time.Minute, 0, 2, time.Second)
-			r.Cut(2*time.Minute+ms, 0, false)
-			if a := only(t, r, 2*time.Minute+ms); a.Index != 3 {
+			r.SetIsolated(2*time.Minute+ms, 0, false)
+			if a := only(t, r, 2*time.Minute+ms); a.Version != 3 {
 				t.Errorf("after a cut: %+v", a)
 			}
 		}
@@ -215,7 +215,7 @@
 // one body.
 func TestAskedTakesTurns(t *testing.T) {
 	const nodes, servers = 450, 4500
-	r := NewRegistry(RegistryConfig{Nodes: nodes, Asked: true, Answer: 2 * ms, Line: time.Microsecond}, nil)
+	r := NewRegistry(RegistryConfig{Nodes: nodes, OnDemand: true, ResponseTime: 2 * ms, EntryTime: time.Microsecond}, nil)
 	var all []Entry
 	for i := range servers {
 		all = append(all, server(i, Ready))
@@ -225,8 +225,8 @@
 		r.Call(0, n, 0, 0)
 	}
 	out := r.Advance(time.Minute)
-	if len(out) != nodes || r.builds != 1 {
-		t.Fatalf("%d answers of %d bodies", len(out), r.builds)
+	if len(out) != nodes || r.listsEncoded != 1 {
+		t.Fatalf("%d answers of %d bodies", len(out), r.listsEncoded)
 	}
 	for i, a := range out {
 		if a.Node != i || a.At != time.Duration(i+1)*6500*time.Microsecond {
@@ -236,29 +236,29 @@
 	if got := decode(t, out[0]).Endpoints; !slices.Equal(got, all) {
 		t.Error("the list is not what was put in")
 	}
-	if st := r.Stats(); st.Whole != nodes || st.Bytes != nodes*int64(len(out[0].Body)) || st.Lines != nodes*servers || r.NodeStats(7).Calls != 1 {
+	if st := r.Stats(); st.Snapshots != nodes || st.Bytes != nodes*int64(len(out[0].Body)) || st.Entries != nodes*servers || r.NodeStats(7).Calls != 1 {
 		t.Errorf("%+v", st)
 	}
 }
 
 func TestRegistryIsDeterministic(t *testing.T) {
-	play := func() (out []Answer) {
+	play := func() (out []Response) {
 		rng := rand.New(rand.NewPCG(7, 8))
-		r := NewRegistry(RegistryConfig{Nodes: 50, Delay: ms, Spread: 50 * ms}, rng)
+		r := NewRegistry(RegistryConfig{Nodes: 50, Delay: ms, DelaySpread: 50 * ms}, rng)
 		for i := range 500 {
 			now := time.Duration(i) * ms
-			r.Call(now, rng.IntN(50), 1+r.Version(now, rng.IntN(50)), 100*ms)
+			r.Call(now, rng.IntN(50), 1+r.NodeVersion(now, rng.IntN(50)), 100*ms)
 			switch i % 50 {
 			case 0:
 				r.Change(now, server(i, Ready))
 			case 20:
-				r.Cut(now, i/50, true)
+				r.SetIsolated(now, i/50, true)
 			case 30, 35:
-				r.Silence(now, i%50 == 30)
+				r.SetSilent(now, i%50 == 30)
 			case 40:
-				r.BreakWatches(now)
+				r.ResetWatches(now)
 			case 45:
-				r.Cut(now, i/50, false)
+				r.SetIsolated(now, i/50, false)
 			}
 			out = append(out, r.Advance(now)...)
 		}
--- a/internal/lab/model/server_test.go
+++ b/internal/lab/model/server_test.go
@@ -43,7 +43,7 @@
 			take(s.Advance(next))
 		}
 		at[i], costs[i] = now.Seconds(), time.Duration(cost.Rand()*1e9)
-		if s.Arrive(now, nil, Work{ID: uint64(i), Cost: costs[i]}) == Full {
+		if s.Arrive(now, nil, Work{ID: uint64(i), Cost: costs[i]}) == Rejected {
 			full[i*batches/n]++
 		}
 	}
@@ -82,7 +82,7 @@
 	t.Run("M/M/c", func(t *testing.T) {
 		for _, c := range []int{1, 4} {
 			const rho = 0.7
-			s, r := NewServer(ServerConfig{Cores: c, Queue: Unlimited}, nil), src()
+			s, r := NewServer(ServerConfig{Cores: c, QueueLimit: Unlimited}, nil), src()
 			waits, _ := queueing(s, rho*float64(c)/mean, distuv.Exponential{Rate: 1 / mean, Src: r}, n, r)
 			within(t, "mean wait", waits, erlangC(c, rho*float64(c))*mean/(float64(c)*(1-rho)))
 		}
@@ -92,24 +92,24 @@
 		r := src()
 		// At speed 2 a run takes half its work, so that the wait is of runs of
 		// half the mean, and the other half of the work counts as less waiting.
-		waits, _ := queueing(NewServer(ServerConfig{Speed: speed, Queue: Unlimited}, nil), rho*speed/mean,
+		waits, _ := queueing(NewServer(ServerConfig{Speed: speed, QueueLimit: Unlimited}, nil), rho*speed/mean,
 			distuv.Gamma{Alpha: 1 / cv2, Beta: 1 / cv2 / mean, Src: r}, n+100_000, r) // its waits vary most
 		within(t, "mean wait", waits, rho/(1-rho)*(1+cv2)/2*mean/speed-mean*(1-1/speed))
 	})
 	t.Run("M/M/1/K", func(t *testing.T) {
 		const rho, k = 0.9, 5
 		r := src()
-		s := NewServer(ServerConfig{Queue: k - 1}, nil)
+		s := NewServer(ServerConfig{QueueLimit: k - 1}, nil)
 		_, lost := queueing(s, rho/mean, distuv.Exponential{Rate: 1 / mean, Src: r}, n, r)
 		within(t, "lost", lost, (1-rho)*math.Pow(rho, k)/(1-math.Pow(rho, k+1)))
-		if st := s.Stats(); st.Served+st.Full != n || (st.Work-st.Busy).Abs() > time.Duration(st.Served) { // a run ends at a whole nanosecond
+		if st := s.Stats(); st.Served+st.Rejected != n || (st.Work-st.Busy).Abs() > time.Duration(st.Served) { // a run ends at a whole nanosecond
 			t.Errorf("a core of speed 1: %+v", st)
 		}
 	})
 }
 
 func TestColdRamp(t *testing.T) {
-	cfg := ServerConfig{ColdFrom: 0.2, ColdTime: 10 * time.Second}
+	cfg := ServerConfig{ColdCapacity: 0.2, WarmupTime: 10 * time.Second}
 	// The capacity's integral is 0.2 t + 0.04 t², and 6 s when warm.
 	for _, c := range []struct{ work, takes float64 }{{2, 5}, {6, 10}, {7, 11}} {
 		s := NewServer(cfg, nil)
@@ -122,8 +122,8 @@
 		if got, _ := s.Next(); (got - time.Second - time.Duration(c.takes*1e9)).Abs() > 1 {
 			t.Errorf("work of %v s takes %v once looked at, want %v s", c.work, got-time.Second, c.takes)
 		}
-		s.Hang(4*time.Second, true)
-		s.Hang(5*time.Second, false) // it warms up meanwhile, so that less than a second is lost
+		s.SetHung(4*time.Second, true)
+		s.SetHung(5*time.Second, false) // it warms up meanwhile, so that less than a second is lost
 		if got, _ := s.Next(); got-time.Second <= time.Duration(c.takes*1e9) || got > time.Duration((c.takes+2)*1e9) {
 			t.Errorf("work of %v s takes %v with a second's hang", c.work, got-time.Second)
 		}
@@ -132,8 +132,8 @@
 
 func TestFallsOverAtTheEdge(t *testing.T) {
 	// N is 4 x 0.5 x 2 cores x 1 s / 10 ms = 400 at the start: 442 requests stand.
-	cfg := ServerConfig{Cores: 2, Queue: 10, ColdFrom: 0.5, ColdTime: 100 * time.Second, FallFactor: 4,
-		FallTime: time.Second, FallRest: 5 * time.Second, MeanCost: 10 * time.Millisecond}
+	cfg := ServerConfig{Cores: 2, QueueLimit: 10, ColdCapacity: 0.5, WarmupTime: 100 * time.Second, CrashFactor: 4,
+		CrashWindow: time.Second, CrashDowntime: 5 * time.Second, MeanCost: 10 * time.Millisecond}
 	w := Work{Cost: 10 * time.Millisecond}
 	s := NewServer(cfg, nil)
 	for range 2 * 442 { // warm: nothing falls
@@ -144,16 +144,16 @@
 	for range 442 {
 		s.Arrive(time.Minute, nil, w) // also what is turned away counts
 	}
-	if st := s.Stats(); st.Falls != 0 || st.WorstPush != 1 || s.Arrive(time.Minute, nil, w) != Broken || s.Stats().Falls != 1 {
+	if st := s.Stats(); st.Crashes != 0 || st.WorstColdLoad != 1 || s.Arrive(time.Minute, nil, w) != ConnectionReset || s.Stats().Crashes != 1 {
 		t.Fatalf("%+v at the edge, %+v over it", st, s.Stats())
 	}
-	if replies := s.Advance(time.Minute); len(replies) != 12 || replies[0].Ending != Broken {
+	if replies := s.Advance(time.Minute); len(replies) != 12 || replies[0].Outcome != ConnectionReset {
 		t.Errorf("two running and ten waiting end with %v", replies)
 	}
-	if _, _, e := s.Connect(time.Minute); e != Refused || s.Up() {
+	if _, _, e := s.Connect(time.Minute); e != ConnectionRefused || s.Up() {
 		t.Errorf("a fallen server takes a connection: %v", e)
 	}
-	rise := time.Minute + cfg.FallRest
+	rise := time.Minute + cfg.CrashDowntime
 	if next, ok := s.Next(); !ok || next != rise {
 		t.Errorf("rises at %v", next)
 	}
@@ -161,21 +161,21 @@
 	for i := range 442 {
 		s.Arrive(rise+time.Duration(i), nil, w)
 	}
-	if s.Arrive(rise+time.Second, nil, w); s.Stats().Falls != 1 {
-		t.Errorf("fell %d times; of the span of a second one has gone when one more comes", s.Stats().Falls)
+	if s.Arrive(rise+time.Second, nil, w); s.Stats().Crashes != 1 {
+		t.Errorf("fell %d times; of the span of a second one has gone when one more comes", s.Stats().Crashes)
 	}
 	for range 10 {
 		s.Arrive(rise+time.Second, nil, w)
 	}
-	if s.Stats().Falls != 2 {
+	if s.Stats().Crashes != 2 {
 		t.Error("the budget of the span is not counted as one")
 	}
 }
 
 func TestKeys(t *testing.T) {
-	var all, here, there Keys
-	s := NewServer(ServerConfig{Cores: 8, Keys: [ScopeCell + 1]*Keys{ScopeAll: &all, ScopeCell: &here}}, nil)
-	other := NewServer(ServerConfig{Cores: 8, Keys: [ScopeCell + 1]*Keys{ScopeAll: &all, ScopeCell: &there}}, nil)
+	var all, here, there KeyStore
+	s := NewServer(ServerConfig{Cores: 8, KeyStores: [ScopeCell + 1]*KeyStore{ScopeAll: &all, ScopeCell: &here}}, nil)
+	other := NewServer(ServerConfig{Cores: 8, KeyStores: [ScopeCell + 1]*KeyStore{ScopeAll: &all, ScopeCell: &there}}, nil)
 	for i, c := range []struct {
 		s      *Server
 		at     time.Duration
@@ -194,66 +194,66 @@
 		c.w.Window, c.w.Cost = 1000, 1
 		c.s.Arrive(c.at, nil, c.w)
 		replies := c.s.Advance(c.at + 1)
-		if len(replies) != 1 || replies[0].Ending != Served || replies[0].Repeat != c.repeat {
+		if len(replies) != 1 || replies[0].Outcome != Served || replies[0].Repeat != c.repeat {
 			t.Errorf("case %d: %v", i, replies)
 		}
 	}
 	// A run that fails or breaks off has no effect; its key may run again.
 	w := Work{Key: "b", Cost: 10, Window: time.Hour}
-	s.Fail(2000, 1)
+	s.SetFailureRate(2000, 1)
 	s.Arrive(2000, nil, w)
-	if r := s.Advance(2010); r[0].Ending != Failed {
+	if r := s.Advance(2010); r[0].Outcome != Failed {
 		t.Errorf("%v", r)
 	}
-	s.Fail(2010, -1)
+	s.SetFailureRate(2010, -1)
 	s.Arrive(2010, nil, w)
 	s.Kill(2015)
 	s.Start(2015)
 	s.Arrive(2015, nil, w)
-	if r := s.Advance(2030); len(r) != 2 || r[0].Ending != Broken || r[1].Ending != Served || r[1].Repeat || s.Stats().Wasted != 15 {
+	if r := s.Advance(2030); len(r) != 2 || r[0].Outcome != ConnectionReset || r[1].Outcome != Served || r[1].Repeat || s.Stats().Wasted != 15 {
 		t.Errorf("%v, wasted %v", r, s.Stats().Wasted)
 	}
-	for i := range 3 * leastSweep { // forgotten keys take no room
-		all.begin(time.Duration(i)*time.Hour, string(rune(i)), 1)
+	for i := range 3 * minSweepSize { // forgotten keys take no room
+		all.beginRun(time.Duration(i)*time.Hour, string(rune(i)), 1)
 	}
-	if len(all.until) > leastSweep {
-		t.Errorf("%d keys are kept of which one is known", len(all.until))
+	if len(all.expiry) > minSweepSize {
+		t.Errorf("%d keys are kept of which one is known", len(all.expiry))
 	}
 }
 
 func TestConnections(t *testing.T) {
-	s := NewServer(ServerConfig{Connections: 2, Queue: 5, Handshake: 4, Speed: 2, IdleClose: 100}, nil)
+	s := NewServer(ServerConfig{MaxConnections: 2, QueueLimit: 5, Handshake: 4, Speed: 2, IdleTimeout: 100}, nil)
 	a, delay, e := s.Connect(0)
 	if e != Accepted || delay != 2 || !a.Open(0) {
 		t.Fatalf("%v after %v", e, delay)
 	}
 	b, _, _ := s.Connect(0)
-	if _, _, e := s.Connect(0); e != Full {
+	if _, _, e := s.Connect(0); e != Rejected {
 		t.Errorf("a third connection: %v", e)
 	}
 	// Two handshakes of 2 each, then the request, run one after the other.
 	s.Arrive(2, a, Work{ID: 1, Cost: 10})
 	s.Arrive(2, b, Work{ID: 2, Cost: 10})
-	s.Disconnect(3, b) // still waits: dropped
-	if r := s.Advance(50); len(r) != 1 || r[0] != (Reply{ID: 1, Ending: Served, At: 9}) {
+	s.CloseConn(3, b) // still waits: dropped
+	if r := s.Advance(50); len(r) != 1 || r[0] != (Reply{ID: 1, Outcome: Served, At: 9}) {
 		t.Errorf("%v", r)
 	}
 	c, _, _ := s.Connect(50)
 	s.Arrive(52, c, Work{ID: 3, Cost: 10})
-	s.Disconnect(53, c) // runs: to its end, for nobody
+	s.CloseConn(53, c) // runs: to its end, for nobody
 	st := func() ServerStats { s.Advance(60); return s.Stats() }()
-	if st.Dropped != 1 || st.Wasted != 10 || st.Served != 1 || st.Handshakes != 3 || st.TurnedAway != 1 || st.Connections != 1 || st.Peak != 2 {
+	if st.Dropped != 1 || st.Wasted != 10 || st.Served != 1 || st.Handshakes != 3 || st.RejectedConnections != 1 || st.Connections != 1 || st.PeakConnections != 2 {
 		t.Errorf("%+v", st)
 	}
-	if !a.Open(108) || a.Open(109) || s.Stats().IdleClosed != 1 || s.Arrive(109, a, Work{}) != Broken {
+	if !a.Open(108) || a.Open(109) || s.Stats().IdleClosed != 1 || s.Arrive(109, a, Work{}) != ConnectionReset {
 		t.Error("the idle connection is closed at 109")
 	}
 }
 
 func TestTroubles(t *testing.T) {
-	s := NewServer(ServerConfig{Queue: 1}, nil)
+	s := NewServer(ServerConfig{QueueLimit: 1}, nil)
 	c, _, _ := s.Connect(0)
-	s.Hang(0, true)
+	s.SetHung(0, true)
 	for i := range 4 {
 		if e := s.Arrive(0, nil, Work{ID: uint64(i), Cost: 10}); e != Accepted {
 			t.Errorf("hung: %v", e)
@@ -262,27 +262,27 @@
 	if next, ok := s.Next(); ok {
 		t.Errorf("a hung server has something at %v", next)
 	}
-	s.Hang(100, false)
-	if r := s.Advance(100); len(r) != 2 || r[0] != (Reply{ID: 2, Ending: Full, At: 100}) || r[1].ID != 3 {
+	s.SetHung(100, false)
+	if r := s.Advance(100); len(r) != 2 || r[0] != (Reply{ID: 2, Outcome: Rejected, At: 100}) || r[1].ID != 3 {
 		t.Errorf("after a hang: %v", r)
 	}
-	s.Slow(105, 3) // half done; the rest takes 15
-	s.Drain(106, true)
-	if e := s.Arrive(106, nil, Work{}); e != Full {
+	s.SetSlowdown(105, 3) // half done; the rest takes 15
+	s.SetDraining(106, true)
+	if e := s.Arrive(106, nil, Work{}); e != Rejected {
 		t.Errorf("draining: %v", e)
 	}
 	if r := s.Advance(120); len(r) != 1 || r[0].At != 120 {
 		t.Errorf("slow: %v", r)
 	}
-	s.Lose(121)
-	if e := s.Arrive(122, c, Work{}); e != Nothing || len(s.Advance(500)) != 0 {
+	s.Disconnect(121)
+	if e := s.Arrive(122, c, Work{}); e != NoResponse || len(s.Advance(500)) != 0 {
 		t.Errorf("lost: %v", e)
 	}
-	if _, _, e := s.Connect(500); e != Nothing {
+	if _, _, e := s.Connect(500); e != NoResponse {
 		t.Errorf("lost: %v", e)
 	}
 	s.Start(500)
-	if e := s.Arrive(500, c, Work{}); e != Broken {
+	if e := s.Arrive(500, c, Work{}); e != ConnectionReset {
 		t.Errorf("a connection of before: %v", e)
 	}
 	b, _, _ := s.Connect(500)
@@ -292,12 +292,12 @@
 	if s.Start(501); len(s.Advance(501)) != 2 || b.Open(501) {
 		t.Error("a kill ends two requests and a connection")
 	}
-	s.Disconnect(502, b) // of before: it means nothing to the new process
+	s.CloseConn(502, b) // of before: it means nothing to the new process
 	if st := s.Stats(); st.Waiting != 0 || st.Connections != 0 || st.Dropped != 0 {
 		t.Errorf("%+v", st)
 	}
 	s.Kill(501)
-	if e := s.Arrive(501, nil, Work{}); e != Refused {
+	if e := s.Arrive(501, nil, Work{}); e != ConnectionRefused {
 		t.Errorf("killed: %v", e)
 	}
 }
@@ -305,14 +305,14 @@
 func TestServerIsDeterministic(t *testing.T) {
 	play := func() (ServerStats, []float64) {
 		r := rand.NewPCG(3, 4)
-		s := NewServer(ServerConfig{Cores: 3, Queue: 4, FailingPart: 0.1, ColdFrom: 0.1, ColdTime: 20 * time.Second,
-			FallFactor: 3, FallTime: time.Second, FallRest: time.Second, MeanCost: 10 * time.Millisecond}, rand.New(r))
+		s := NewServer(ServerConfig{Cores: 3, QueueLimit: 4, FailureRate: 0.1, ColdCapacity: 0.1, WarmupTime: 20 * time.Second,
+			CrashFactor: 3, CrashWindow: time.Second, CrashDowntime: time.Second, MeanCost: 10 * time.Millisecond}, rand.New(r))
 		s.Start(0)
 		waits, _ := queueing(s, 280, distuv.Exponential{Rate: 100, Src: r}, 20_000, r)
 		return s.Stats(), waits
 	}
 	a, wa := play()
-	if b, wb := play(); a != b || !reflect.DeepEqual(wa, wb) || a.Failed == 0 || a.Falls == 0 {
+	if b, wb := play(); a != b || !reflect.DeepEqual(wa, wb) || a.Failed == 0 || a.Crashes == 0 {
 		t.Errorf("%+v\n%+v", a, b)
 	}
 }
--- a/internal/lab/scaling/real.go
+++ b/internal/lab/scaling/real.go
@@ -166,7 +166,7 @@
 		}
 	}()
 	for i := range registries {
-		if n.registries[i], err = emulator.NewRegistry(emulator.RegistryConfig{RegistryConfig: model.RegistryConfig{Nodes: 1, Asked: c.asked}}); err != nil {
+		if n.registries[i], err = emulator.NewRegistry(emulator.RegistryConfig{RegistryConfig: model.RegistryConfig{Nodes: 1, OnDemand: c.asked}}); err != nil {
 			return nil, err
 		}
 		if err := n.registries[i].Change(n.entries...); err != nil {
@@ -261,7 +261,7 @@
 	if err != nil {
 		return idle{}, err
 	}
-	out := idle{cpu: 100 * (after.CPU - before.CPU).Seconds() / seconds, bytes: float64(now.In+now.Out-lists.In-lists.Out) / seconds,
+	out := idle{cpu: 100 * (after.CPU - before.CPU).Seconds() / seconds, bytes: float64(now.BytesIn+now.BytesOut-lists.BytesIn-lists.BytesOut) / seconds,
 		calls: float64(now.Calls-lists.Calls) / seconds, memory: float64(after.Memory) / 1e6, ready: n.Ready.Seconds() * 1e3,
 		config: float64(config.Size()) / 1e6}
 	e.log("  %+v: %+v", c, out)
@@ -393,7 +393,7 @@
 		sum := int64(0)
 		for _, r := range n.registries {
 			st := r.Stats()
-			sum += st.In + st.Out
+			sum += st.BytesIn + st.BytesOut
 		}
 		return u.CPU, sum
 	}
