--- a/internal/lab/model/registry_test.go
+++ b/internal/lab/model/registry_test.go
@@ -12,16 +12,16 @@
 
 const ms = time.Millisecond
 
-// told is an answer's body, decoded.
-type told struct {
+// decodedList is the decoded body of a response.
+type decodedList struct {
 	Index     uint64
 	Snapshot  bool
 	Endpoints []Entry
 }
 
-func decode(t *testing.T, a Response) told {
+func decode(t *testing.T, a Response) decodedList {
 	t.Helper()
-	var l told
+	var l decodedList
 	if err := json.Unmarshal(a.Body, &l); err != nil {
 		t.Fatalf("%v in %s", err, a.Body)
 	}
@@ -31,40 +31,40 @@
 	return l
 }
 
-func server(i int, status string) Entry {
+func entryOf(i int, status string) Entry {
 	return Entry{Name: fmt.Sprintf("s-%04d", i), Address: fmt.Sprintf("10.1.0.18:%d", i), Zone: "a", Type: "m2", Group: i % 7,
 		Status: status, Weight: 1.5, SinceMS: int64(i)}
 }
 
-// only takes the one answer that is due.
-func only(t *testing.T, r *Registry, now time.Duration) Response {
+// oneResponse returns the one response that is due.
+func oneResponse(t *testing.T, r *Registry, now time.Duration) Response {
 	t.Helper()
 	out := r.Advance(now)
 	if len(out) != 1 {
-		t.Fatalf("at %v: %d answers: %v", now, len(out), out)
+		t.Fatalf("at %v: %d responses: %v", now, len(out), out)
 	}
 	return out[0]
 }
 
-func TestListForm(t *testing.T) {
+func TestListFormat(t *testing.T) {
 	r := NewRegistry(RegistryConfig{Nodes: 1}, nil)
-	e := server(0, Ready)
+	e := entryOf(0, Ready)
 	if err := r.Change(0, e); err != nil {
 		t.Fatal(err)
 	}
 	r.Call(0, 0, 0, 0)
 	const want = `{"index":1,"snapshot":true,"endpoints":[{"name":"s-0000","address":"10.1.0.18:0","zone":"a","type":"m2","group":0,"status":"ready","weight":1.5,"since_ms":0}]}`
-	if a := only(t, r, 0); string(a.Body) != want {
+	if a := oneResponse(t, r, 0); string(a.Body) != want {
 		t.Errorf("%s\nwant %s", a.Body, want)
 	}
 	if r.Change(0, Entry{Name: "s", Status: "odd"}) == nil || r.Change(0, Entry{Status: Ready}) == nil || r.Version() != 1 {
-		t.Error("took an entry that is none")
+		t.Error("accepted an invalid entry")
 	}
 }
 
-// TestListsAtVersions: nodes that hear of changes at other times get, each,
-// the list of their version, whole and as changes; both lead to the same.
-func TestListsAtVersions(t *testing.T) {
+// TestListOfEachVersion: nodes that learn of changes at different times each get
+// the list of their version; the whole list and the changes agree.
+func TestListOfEachVersion(t *testing.T) {
 	const nodes, steps = 20, 300
 	rng := rand.New(rand.NewPCG(5, 6))
 	r := NewRegistry(RegistryConfig{Nodes: nodes, Delay: 5 * ms, DelaySpread: 40 * ms, LogLength: 30}, rng)
@@ -80,7 +80,7 @@
 		}
 		var changed []Entry
 		for range 1 + rng.IntN(4) {
-			e := server(rng.IntN(40), []string{Ready, Draining, Removed}[rng.IntN(3)])
+			e := entryOf(rng.IntN(40), []string{Ready, Draining, Removed}[rng.IntN(3)])
 			e.Weight = float64(i)
 			changed = append(changed, e)
 			if next[e.Name] = e; e.Status == Removed {
@@ -110,7 +110,7 @@
 				}
 			}
 			if at[n] = a.Version; !reflect.DeepEqual(held[n], truth[a.Version]) {
-				t.Fatalf("step %d, node %d: version %d (whole %v) is told wrongly", i, n, a.Version, a.Snapshot)
+				t.Fatalf("step %d, node %d: version %d (whole %v) is wrong", i, n, a.Version, a.Snapshot)
 			}
 			if late := now - time.Duration(a.Version)*ms; n != 3 && late > r.Delay(n) { // version i+1 came at i
 				t.Fatalf("node %d is at version %d at %v with a delay of %v", n, a.Version, now, r.Delay(n))
@@ -124,59 +124,59 @@
 
 func TestWatches(t *testing.T) {
 	r := NewRegistry(RegistryConfig{Nodes: 2, Delay: 10 * ms}, nil)
-	r.Change(0, server(0, Ready))
+	r.Change(0, entryOf(0, Ready))
 	r.Advance(100 * ms)
 	r.Call(100*ms, 0, 1, 50*ms) // by its hold
 	if next, ok := r.Next(); !ok || next != 150*ms {
 		t.Errorf("released at %v", next)
 	}
-	if a := only(t, r, 150*ms); a.At != 150*ms || a.Snapshot || a.Entries != 0 || a.Version != 1 {
+	if a := oneResponse(t, r, 150*ms); a.At != 150*ms || a.Snapshot || a.Entries != 0 || a.Version != 1 {
 		t.Errorf("%+v", a)
 	}
 	id := r.Call(150*ms, 0, 1, time.Hour) // by a change; a hold has a limit
 	if next, _ := r.Next(); next != 150*ms+maxHold {
 		t.Errorf("held until %v", next)
 	}
-	r.Change(200*ms, server(0, Draining))
-	r.Change(205*ms, server(1, Ready))
-	if a := only(t, r, 300*ms); a.At != 210*ms || a.CallID != id || a.Version != 2 || decode(t, a).Endpoints[0].Status != Draining {
+	r.Change(200*ms, entryOf(0, Draining))
+	r.Change(205*ms, entryOf(1, Ready))
+	if a := oneResponse(t, r, 300*ms); a.At != 210*ms || a.CallID != id || a.Version != 2 || decode(t, a).Endpoints[0].Status != Draining {
 		t.Errorf("%+v", a)
 	}
 	r.Call(300*ms, 0, 2, time.Second) // what came meanwhile
-	if a := only(t, r, 300*ms); a.Version != 3 || a.Snapshot || a.Entries != 1 {
+	if a := oneResponse(t, r, 300*ms); a.Version != 3 || a.Snapshot || a.Entries != 1 {
 		t.Errorf("%+v", a)
 	}
 	r.Call(300*ms, 0, 99, time.Second) // a version of another discovery
-	if a := only(t, r, 300*ms); a.Version != 3 || !a.Snapshot {
+	if a := oneResponse(t, r, 300*ms); a.Version != 3 || !a.Snapshot {
 		t.Errorf("%+v", a)
 	}
 	id = r.Call(300*ms, 0, 3, time.Second)
 	r.Call(300*ms, 1, 3, time.Second)
 	r.CancelCall(301*ms, id)
 	r.ResetWatches(302 * ms)
-	if a := only(t, r, 302*ms); a.Outcome != ConnectionReset || a.Node != 1 || r.HeldCalls() != 0 {
+	if a := oneResponse(t, r, 302*ms); a.Outcome != ConnectionReset || a.Node != 1 || r.HeldCalls() != 0 {
 		t.Errorf("%+v", a)
 	}
 }
 
 func TestOutages(t *testing.T) {
-	for _, asked := range []bool{false, true} {
-		r := NewRegistry(RegistryConfig{Nodes: 2, OnDemand: asked}, nil)
-		r.Change(0, server(0, Ready))
-		quiet := func(what string, now time.Duration) {
+	for _, onDemand := range []bool{false, true} {
+		r := NewRegistry(RegistryConfig{Nodes: 2, OnDemand: onDemand}, nil)
+		r.Change(0, entryOf(0, Ready))
+		noResponse := func(what string, now time.Duration) {
 			t.Helper()
 			if out := r.Advance(now); len(out) != 0 {
-				t.Errorf("asked %v, %s: %+v", asked, what, out)
+				t.Errorf("on demand %v, %s: %+v", onDemand, what, out)
 			}
 		}
 		r.Call(0, 0, 1, time.Second)
 		r.SetSilent(1*ms, true)
-		r.Change(2*ms, server(0, Draining))
+		r.Change(2*ms, entryOf(0, Draining))
 		r.Call(3*ms, 0, 0, 0)
 		r.SetSilent(4*ms, false)
-		quiet("a silence", time.Minute)
+		noResponse("a silence", time.Minute)
 		r.Call(time.Minute, 0, 1, time.Second)
-		if a := only(t, r, time.Minute); a.Version != 2 || a.Snapshot {
+		if a := oneResponse(t, r, time.Minute); a.Version != 2 || a.Snapshot {
 			t.Errorf("after a silence: %+v", a)
 		}
 
@@ -190,35 +190,35 @@
 
 		r.Call(time.Minute, 0, 2, time.Second)
 		r.SetIsolated(time.Minute, 0, true)
-		r.Change(time.Minute, server(1, Ready))
+		r.Change(time.Minute, entryOf(1, Ready))
 		if r.NodeVersion(time.Minute, 0) != 2 || r.NodeVersion(time.Minute, 1) != 3 {
 			t.Error("a cut keeps a node, and no other, from learning")
 		}
-		if asked { // its calls get nowhere
-			quiet("a cut", 2*time.Minute)
+		if onDemand { // its calls get nowhere
+			noResponse("a cut", 2*time.Minute)
 			r.SetIsolated(2*time.Minute, 0, false)
-			quiet("after a cut", 3*time.Minute)
+			noResponse("after a cut", 3*time.Minute)
 		} else { // its agent goes on, with what it has
-			if a := only(t, r, 2*time.Minute); a.At != time.Minute+time.Second || a.Entries != 0 {
+			if a := oneResponse(t, r, 2*time.Minute); a.At != time.Minute+time.Second || a.Entries != 0 {
 				t.Errorf("a cut: %+v", a)
 			}
 			r.Call(2*time.Minute, 0, 2, time.Second)
 			r.SetIsolated(2*time.Minute+ms, 0, false)
-			if a := only(t, r, 2*time.Minute+ms); a.Version != 3 {
+			if a := oneResponse(t, r, 2*time.Minute+ms); a.Version != 3 {
 				t.Errorf("after a cut: %+v", a)
 			}
 		}
 	}
 }
 
-// TestAskedTakesTurns: the service answers one call after the other, all from
-// one body.
-func TestAskedTakesTurns(t *testing.T) {
+// TestOnDemandServiceAnswersInTurn: the service answers one call after the
+// other, all with one encoded list.
+func TestOnDemandServiceAnswersInTurn(t *testing.T) {
 	const nodes, servers = 450, 4500
 	r := NewRegistry(RegistryConfig{Nodes: nodes, OnDemand: true, ResponseTime: 2 * ms, EntryTime: time.Microsecond}, nil)
 	var all []Entry
 	for i := range servers {
-		all = append(all, server(i, Ready))
+		all = append(all, entryOf(i, Ready))
 	}
 	r.Change(0, all...)
 	for n := range nodes {
@@ -226,11 +226,11 @@
 	}
 	out := r.Advance(time.Minute)
 	if len(out) != nodes || r.listsEncoded != 1 {
-		t.Fatalf("%d answers of %d bodies", len(out), r.listsEncoded)
+		t.Fatalf("%d responses of %d encoded lists", len(out), r.listsEncoded)
 	}
 	for i, a := range out {
 		if a.Node != i || a.At != time.Duration(i+1)*6500*time.Microsecond {
-			t.Fatalf("answer %d: node %d at %v", i, a.Node, a.At)
+			t.Fatalf("response %d: node %d at %v", i, a.Node, a.At)
 		}
 	}
 	if got := decode(t, out[0]).Endpoints; !slices.Equal(got, all) {
@@ -250,7 +250,7 @@
 			r.Call(now, rng.IntN(50), 1+r.NodeVersion(now, rng.IntN(50)), 100*ms)
 			switch i % 50 {
 			case 0:
-				r.Change(now, server(i, Ready))
+				r.Change(now, entryOf(i, Ready))
 			case 20:
 				r.SetIsolated(now, i/50, true)
 			case 30, 35:
@@ -265,6 +265,6 @@
 		return out
 	}
 	if a := play(); len(a) < 200 || !reflect.DeepEqual(a, play()) {
-		t.Errorf("%d answers, or others the second time", len(a))
+		t.Errorf("%d responses, or different ones the second time", len(a))
 	}
 }
--- a/internal/lab/model/server_test.go
+++ b/internal/lab/model/server_test.go
@@ -22,7 +22,7 @@
 type rander interface{ Rand() float64 }
 
 // queueing plays Poisson arrivals to a server. It returns for each batch the
-// mean wait of those served in seconds and the part that was turned away; the
+// mean wait of those served in seconds and the fraction that was rejected; the
 // first batch is left out, as the server starts empty.
 func queueing(s *Server, rate float64, cost rander, n int, src rand.Source) (waits, lost []float64) {
 	gap := distuv.Exponential{Rate: rate, Src: src}
@@ -56,7 +56,7 @@
 }
 
 // within fails a test unless want lies in the confidence interval of the mean
-// of xs (Student's t), and that interval is narrow enough to tell anything.
+// of xs (Student's t), and that interval is narrow enough to be a check.
 func within(t *testing.T, what string, xs []float64, want float64) {
 	t.Helper()
 	mean, dev := stat.MeanStdDev(xs, nil)
@@ -108,7 +108,7 @@
 	})
 }
 
-func TestColdRamp(t *testing.T) {
+func TestWarmup(t *testing.T) {
 	cfg := ServerConfig{ColdCapacity: 0.2, WarmupTime: 10 * time.Second}
 	// The capacity's integral is 0.2 t + 0.04 t², and 6 s when warm.
 	for _, c := range []struct{ work, takes float64 }{{2, 5}, {6, 10}, {7, 11}} {
@@ -118,9 +118,9 @@
 		if got, _ := s.Next(); got-time.Second != time.Duration(c.takes*1e9) {
 			t.Errorf("work of %v s takes a cold server %v, want %v s", c.work, got-time.Second, c.takes)
 		}
-		s.Advance(3 * time.Second) // looking on does not change it
+		s.Advance(3 * time.Second) // Advance does not change it
 		if got, _ := s.Next(); (got - time.Second - time.Duration(c.takes*1e9)).Abs() > 1 {
-			t.Errorf("work of %v s takes %v once looked at, want %v s", c.work, got-time.Second, c.takes)
+			t.Errorf("work of %v s takes %v after Advance, want %v s", c.work, got-time.Second, c.takes)
 		}
 		s.SetHung(4*time.Second, true)
 		s.SetHung(5*time.Second, false) // it warms up meanwhile, so that less than a second is lost
@@ -130,19 +130,19 @@
 	}
 }
 
-func TestFallsOverAtTheEdge(t *testing.T) {
-	// N is 4 x 0.5 x 2 cores x 1 s / 10 ms = 400 at the start: 442 requests stand.
+func TestCrashThreshold(t *testing.T) {
+	// N is 4 x 0.5 x 2 cores x 1 s / 10 ms = 400 at the start: it survives 442 requests.
 	cfg := ServerConfig{Cores: 2, QueueLimit: 10, ColdCapacity: 0.5, WarmupTime: 100 * time.Second, CrashFactor: 4,
 		CrashWindow: time.Second, CrashDowntime: 5 * time.Second, MeanCost: 10 * time.Millisecond}
 	w := Work{Cost: 10 * time.Millisecond}
 	s := NewServer(cfg, nil)
-	for range 2 * 442 { // warm: nothing falls
+	for range 2 * 442 { // warm: no crash
 		s.Arrive(0, nil, w)
 	}
 	s.Start(time.Minute)
 	s.Advance(time.Minute)
 	for range 442 {
-		s.Arrive(time.Minute, nil, w) // also what is turned away counts
+		s.Arrive(time.Minute, nil, w) // rejected ones count too
 	}
 	if st := s.Stats(); st.Crashes != 0 || st.WorstColdLoad != 1 || s.Arrive(time.Minute, nil, w) != ConnectionReset || s.Stats().Crashes != 1 {
 		t.Fatalf("%+v at the edge, %+v over it", st, s.Stats())
@@ -151,28 +151,28 @@
 		t.Errorf("two running and ten waiting end with %v", replies)
 	}
 	if _, _, e := s.Connect(time.Minute); e != ConnectionRefused || s.Up() {
-		t.Errorf("a fallen server takes a connection: %v", e)
+		t.Errorf("a crashed server accepts a connection: %v", e)
 	}
-	rise := time.Minute + cfg.CrashDowntime
-	if next, ok := s.Next(); !ok || next != rise {
-		t.Errorf("rises at %v", next)
+	restart := time.Minute + cfg.CrashDowntime
+	if next, ok := s.Next(); !ok || next != restart {
+		t.Errorf("restarts at %v", next)
 	}
-	// Back, it is cold, and what reached it before the span no longer counts.
+	// Back, it is cold, and what reached it before the window no longer counts.
 	for i := range 442 {
-		s.Arrive(rise+time.Duration(i), nil, w)
+		s.Arrive(restart+time.Duration(i), nil, w)
 	}
-	if s.Arrive(rise+time.Second, nil, w); s.Stats().Crashes != 1 {
-		t.Errorf("fell %d times; of the span of a second one has gone when one more comes", s.Stats().Crashes)
+	if s.Arrive(restart+time.Second, nil, w); s.Stats().Crashes != 1 {
+		t.Errorf("crashed %d times; of the window of a second one has gone when one more comes", s.Stats().Crashes)
 	}
 	for range 10 {
-		s.Arrive(rise+time.Second, nil, w)
+		s.Arrive(restart+time.Second, nil, w)
 	}
 	if s.Stats().Crashes != 2 {
-		t.Error("the budget of the span is not counted as one")
+		t.Error("the load of the window is not summed")
 	}
 }
 
-func TestKeys(t *testing.T) {
+func TestKeyStores(t *testing.T) {
 	var all, here, there KeyStore
 	s := NewServer(ServerConfig{Cores: 8, KeyStores: [ScopeCell + 1]*KeyStore{ScopeAll: &all, ScopeCell: &here}}, nil)
 	other := NewServer(ServerConfig{Cores: 8, KeyStores: [ScopeCell + 1]*KeyStore{ScopeAll: &all, ScopeCell: &there}}, nil)
@@ -213,11 +213,11 @@
 	if r := s.Advance(2030); len(r) != 2 || r[0].Outcome != ConnectionReset || r[1].Outcome != Served || r[1].Repeat || s.Stats().Wasted != 15 {
 		t.Errorf("%v, wasted %v", r, s.Stats().Wasted)
 	}
-	for i := range 3 * minSweepSize { // forgotten keys take no room
+	for i := range 3 * minSweepSize { // expired keys are deleted
 		all.beginRun(time.Duration(i)*time.Hour, string(rune(i)), 1)
 	}
 	if len(all.expiry) > minSweepSize {
-		t.Errorf("%d keys are kept of which one is known", len(all.expiry))
+		t.Errorf("%d keys are kept, of which one has not expired", len(all.expiry))
 	}
 }
 
@@ -250,7 +250,7 @@
 	}
 }
 
-func TestTroubles(t *testing.T) {
+func TestFaults(t *testing.T) {
 	s := NewServer(ServerConfig{QueueLimit: 1}, nil)
 	c, _, _ := s.Connect(0)
 	s.SetHung(0, true)
@@ -260,7 +260,7 @@
 		}
 	}
 	if next, ok := s.Next(); ok {
-		t.Errorf("a hung server has something at %v", next)
+		t.Errorf("a hung server has an event at %v", next)
 	}
 	s.SetHung(100, false)
 	if r := s.Advance(100); len(r) != 2 || r[0] != (Reply{ID: 2, Outcome: Rejected, At: 100}) || r[1].ID != 3 {
--- /dev/null
+++ b/internal/lab/model/serverconn.go
@@ -0,0 +1,138 @@
+package model
+
+import (
+	"container/list"
+	"time"
+)
+
+// minHandshakeCapacity bounds the delay of a handshake at a server that starts
+// with no capacity at all.
+const minHandshakeCapacity = 0.01
+
+// Conn is a connection to a server. It carries one request at a time.
+type Conn struct {
+	server      *Server
+	incarnation int // of the server's process
+	closed      bool
+	job         *job          // under way; nil while idle
+	idleElement *list.Element // in server.idleConns while idle, else nil
+	idleSince   time.Duration
+}
+
+// Connect opens a connection. The outcome is one of
+//
+//   - Accepted, with the delay by which the first request reaches the server
+//     later: the time of the handshake at the server's present speed;
+//   - Rejected: over the limit, the connection is established but its first
+//     request is rejected, and the connection does not count;
+//   - ConnectionRefused, by the machine of a process that has ended;
+//   - NoResponse, by a machine that has vanished.
+//
+// The connection is nil unless it is Accepted.
+func (s *Server) Connect(now time.Duration) (*Conn, time.Duration, Outcome) {
+	s.advanceTo(now)
+	switch s.state {
+	case down:
+		return nil, 0, ConnectionRefused
+	case lost:
+		return nil, 0, NoResponse
+	}
+	if s.cfg.MaxConnections > 0 && s.stats.Connections >= s.cfg.MaxConnections {
+		s.stats.RejectedConnections++
+		return nil, 0, Rejected
+	}
+	if s.recordColdLoad(s.cfg.Handshake) {
+		return nil, 0, ConnectionRefused
+	}
+	c := &Conn{server: s, incarnation: s.incarnation}
+	s.markIdle(c)
+	s.stats.Connections++
+	s.stats.PeakConnections = max(s.stats.PeakConnections, s.stats.Connections)
+	return c, s.startHandshake(), Accepted
+}
+
+// startHandshake queues the work of a handshake and returns its delay.
+func (s *Server) startHandshake() time.Duration {
+	if s.cfg.Handshake <= 0 {
+		return 0
+	}
+	s.stats.Handshakes++
+	s.queue = append(s.queue, &job{Work: Work{Cost: s.cfg.Handshake}, handshake: true})
+	s.startJobs()
+	delay := s.cfg.Handshake.Seconds() * s.slowdown / s.cfg.Speed / max(s.Capacity(s.now), s.cfg.ColdCapacity, minHandshakeCapacity)
+	return ceilNanoseconds(delay)
+}
+
+// Open reports whether a connection would carry a request to the server's
+// present process. A client cannot see that of a machine that has vanished.
+func (c *Conn) Open(now time.Duration) bool {
+	s := c.server
+	s.advanceTo(now)
+	return !c.broken() && s.state == up
+}
+
+// broken reports whether the connection is closed or belongs to an earlier
+// process.
+func (c *Conn) broken() bool { return c.closed || c.incarnation != c.server.incarnation }
+
+// CloseConn closes a connection from the client's side. The server notices
+// between executions: a request that waits on the connection is dropped, one
+// that runs goes on to its end without a reply.
+func (s *Server) CloseConn(now time.Duration, c *Conn) {
+	s.advanceTo(now)
+	if c.broken() {
+		c.closed = true
+		return
+	}
+	if j := c.job; j != nil {
+		c.job = nil
+		j.abandoned = true
+		if !j.started {
+			s.waiting--
+			s.stats.Dropped++
+		}
+	}
+	s.closeConn(c)
+}
+
+func (s *Server) closeConn(c *Conn) {
+	c.closed = true
+	s.stats.Connections--
+	s.markBusy(c)
+}
+
+// markIdle starts the connection's idle timeout.
+func (s *Server) markIdle(c *Conn) {
+	if c.broken() {
+		return
+	}
+	c.idleSince = s.now
+	c.idleElement = s.idleConns.PushBack(c)
+}
+
+// markBusy ends the connection's idle timeout, if it runs.
+func (s *Server) markBusy(c *Conn) {
+	if c.idleElement != nil {
+		s.idleConns.Remove(c.idleElement)
+		c.idleElement = nil
+	}
+}
+
+// closeIdleConns closes the connections whose idle timeout has expired.
+func (s *Server) closeIdleConns() {
+	if s.cfg.IdleTimeout <= 0 {
+		return
+	}
+	for {
+		oldest := s.idleConns.Front()
+		if oldest == nil {
+			return
+		}
+		c := oldest.Value.(*Conn)
+		if c.idleSince+s.cfg.IdleTimeout > s.now {
+			return
+		}
+		s.stats.IdleClosed++
+		s.closeConn(c)
+	}
+}
--- /dev/null
+++ b/internal/lab/model/serverfaults.go
@@ -0,0 +1,135 @@
+package model
+
+import (
+	"math"
+	"time"
+)
+
+// Start starts the process again, cold, neither hung nor draining. A process
+// that exists is killed first.
+func (s *Server) Start(now time.Duration) {
+	s.advanceTo(now)
+	if s.state == up {
+		s.endProcess(down)
+	}
+	s.startProcess()
+}
+
+// Kill ends the process: its connections break, new ones are refused.
+func (s *Server) Kill(now time.Duration) { s.stop(now, down) }
+
+// Disconnect takes the machine from the network. Its requests end without a
+// reply, and its connections stay open and silent for their clients.
+func (s *Server) Disconnect(now time.Duration) { s.stop(now, lost) }
+
+// stop takes the server to a state other than up.
+func (s *Server) stop(now time.Duration, to state) {
+	s.advanceTo(now)
+	if s.state == up {
+		s.endProcess(to)
+	}
+	s.state = to
+	s.crashed = false
+}
+
+// SetHung suspends the process or lets it continue. While hung it accepts any
+// number of connections and requests and answers none; when it continues, it
+// rejects those beyond its queue's limit.
+func (s *Server) SetHung(now time.Duration, on bool) {
+	s.advanceTo(now)
+	if s.hung == on {
+		return
+	}
+	s.hung = on
+	if on {
+		return
+	}
+	s.startJobs()
+	s.rejectOverflow()
+}
+
+// rejectOverflow rejects the requests beyond the queue's limit.
+func (s *Server) rejectOverflow() {
+	kept := 0
+	for _, j := range s.queue[s.queueHead:] {
+		if j.handshake || j.abandoned {
+			continue
+		}
+		kept++
+		if kept > s.cfg.QueueLimit {
+			j.abandoned = true
+			s.waiting--
+			s.stats.Rejected++
+			s.reply(j, Rejected, false)
+		}
+	}
+}
+
+// SetSlowdown makes the server slower by a factor; 1 is its normal speed. The
+// load that a cold server survives does not change.
+func (s *Server) SetSlowdown(now time.Duration, factor float64) {
+	s.advanceTo(now)
+	if factor > 0 {
+		s.slowdown = factor
+	}
+}
+
+// SetFailureRate makes a fraction of the executions end Failed, those under way
+// included. A negative fraction restores the configured one.
+func (s *Server) SetFailureRate(now time.Duration, fraction float64) {
+	s.advanceTo(now)
+	if fraction < 0 {
+		fraction = s.cfg.FailureRate
+	}
+	s.failureRate = fraction
+}
+
+// SetDraining makes the server reject all new requests, or accept them again.
+// Accepted requests run to their end. A server that is only listed as draining
+// still serves; the caller decides whether and when it drains.
+func (s *Server) SetDraining(now time.Duration, on bool) {
+	s.advanceTo(now)
+	s.draining = on
+}
+
+// endProcess ends the process; the server's state becomes to.
+func (s *Server) endProcess(to state) {
+	for _, j := range s.running {
+		done := time.Duration(math.Round((min(s.progress, j.endProgress) - j.startProgress) * 1e9))
+		s.stats.Work += done
+		s.stats.Wasted += done
+		if j.keys != nil {
+			j.keys.forget(j.Key)
+		}
+	}
+	for _, j := range append(s.running, s.queue[s.queueHead:]...) {
+		if j.handshake || j.abandoned {
+			continue
+		}
+		s.stats.Broken++
+		if to == down {
+			s.replies = append(s.replies, Reply{ID: j.ID, Outcome: ConnectionReset, At: s.now})
+		}
+	}
+	s.running = nil
+	s.queue = nil
+	s.queueHead = 0
+	s.waiting = 0
+	s.clearColdLoad()
+	s.idleConns.Init()
+	s.stats.Connections = 0
+	s.incarnation++
+	s.state = to
+	s.crashed = false
+}
+
+// startProcess starts a process, cold.
+func (s *Server) startProcess() {
+	s.state = up
+	s.crashed = false
+	s.started = s.now
+	s.cold = s.cfg.WarmupTime > 0
+	s.hung = false
+	s.draining = false
+	s.stats.Starts++
+}
--- /dev/null
+++ b/internal/lab/model/serverjobs.go
@@ -0,0 +1,140 @@
+package model
+
+import "time"
+
+// job is a request or a handshake that a server has accepted.
+type job struct {
+	Work
+	conn          *Conn // nil: none is modelled
+	handshake     bool
+	abandoned     bool // its client has closed
+	started       bool
+	keys          *KeyStore // where its key is recorded; nil: nowhere
+	startProgress float64   // the server's progress at its start
+	endProgress   float64   // and at its end
+}
+
+// Arrive brings a request. The outcome is Accepted, with a Reply from a later
+// Advance, or the request ends at once:
+//
+//   - Rejected, never executed;
+//   - ConnectionReset, on a connection that the server had closed, or because
+//     the server crashes;
+//   - ConnectionRefused, without a connection;
+//   - NoResponse.
+//
+// A nil connection stands for one that the caller does not model.
+func (s *Server) Arrive(now time.Duration, c *Conn, w Work) Outcome {
+	s.advanceTo(now)
+	switch {
+	case s.state == lost:
+		return NoResponse
+	case c != nil && c.broken():
+		s.stats.Broken++
+		return ConnectionReset
+	case s.state == down:
+		return ConnectionRefused
+	}
+	if s.recordColdLoad(w.Cost) {
+		s.stats.Broken++
+		return ConnectionReset
+	}
+	if s.full() {
+		s.stats.Rejected++
+		if c != nil && c.idleElement != nil {
+			s.idleConns.MoveToBack(c.idleElement)
+			c.idleSince = s.now
+		}
+		return Rejected
+	}
+	j := &job{Work: w, conn: c}
+	if c != nil {
+		c.job = j
+		s.markBusy(c)
+	}
+	s.queue = append(s.queue, j)
+	s.waiting++
+	s.startJobs()
+	return Accepted
+}
+
+// full reports whether a new request is rejected. A hung process cannot reject;
+// it does so when it continues.
+func (s *Server) full() bool {
+	if s.hung {
+		return false
+	}
+	return s.draining || len(s.running) == s.cfg.Cores && s.waiting >= s.cfg.QueueLimit
+}
+
+// startJobs starts queued jobs on the free cores.
+func (s *Server) startJobs() {
+	for s.state == up && !s.hung && s.queueHead < len(s.queue) && len(s.running) < s.cfg.Cores {
+		j := s.queue[s.queueHead]
+		s.queue[s.queueHead] = nil
+		s.queueHead++
+		if !j.abandoned {
+			s.startJob(j)
+		}
+	}
+	if s.queueHead > len(s.queue)/2 {
+		s.queue = append(s.queue[:0], s.queue[s.queueHead:]...)
+		s.queueHead = 0
+	}
+}
+
+// startJob runs a job, or replies at once to a repeated key.
+func (s *Server) startJob(j *job) {
+	if !j.handshake {
+		s.waiting--
+	}
+	if keys := s.cfg.KeyStores[j.Scope]; j.Key != "" && keys != nil {
+		if !keys.beginRun(s.now, j.Key, j.Window) {
+			s.stats.Repeats++
+			s.stats.Served++
+			s.reply(j, Served, true)
+			return
+		}
+		j.keys = keys
+	}
+	j.started = true
+	j.startProgress = s.progress
+	j.endProgress = s.progress + j.Cost.Seconds()
+	s.running = append(s.running, j)
+	if s.cfg.OnStart != nil && !j.handshake {
+		s.cfg.OnStart(j.ID, s.now)
+	}
+}
+
+// finishJob ends a job that has run to its end.
+func (s *Server) finishJob(j *job) {
+	s.stats.Work += j.Cost
+	if j.handshake {
+		return
+	}
+	failed := s.failureRate >= 1 || s.failureRate > 0 && s.rng.Float64() < s.failureRate
+	if failed && j.keys != nil {
+		j.keys.forget(j.Key)
+	}
+	if j.abandoned || failed {
+		s.stats.Wasted += j.Cost
+	}
+	switch {
+	case j.abandoned:
+	case failed:
+		s.stats.Failed++
+		s.reply(j, Failed, false)
+	default:
+		s.stats.Served++
+		s.reply(j, Served, false)
+	}
+}
+
+// reply ends a request that was accepted, and frees its connection.
+func (s *Server) reply(j *job, outcome Outcome, repeat bool) {
+	s.replies = append(s.replies, Reply{ID: j.ID, Outcome: outcome, At: s.now, Repeat: repeat})
+	if j.conn != nil {
+		j.conn.job = nil
+		s.markIdle(j.conn)
+	}
+}
