--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,5 +1,5 @@
 // Package loadreport names the values of an endpoint's load report, as endpoints
-// and the simulator call them.
+// and the simulator name them.
 package loadreport
 
 import (
@@ -8,22 +8,24 @@
 	"bankshift/balancer"
 )
 
-// SetField sets the value of a load report that the simulator, or a
-// server on a socket, calls so. It tells whether the name is known.
-func SetField(r *balancer.LoadReport, name string, v float64) bool {
+// SetField sets the value of a load report that endpoints and the simulator
+// call by this name. It returns whether the name is known.
+func SetField(report *balancer.LoadReport, name string, value float64) bool {
 	switch name {
 	case "active", "inflight":
-		r.InFlight, r.HasInFlight = v, true
+		report.InFlight = value
+		report.HasInFlight = true
 	case "waiting", "queue":
-		r.Queued, r.HasQueued = v, true
+		report.Queued = value
+		report.HasQueued = true
 	case "cpu", "util":
-		r.Utilization = v
+		report.Utilization = value
 	case "avg_ms", "latency_ms":
-		r.ServiceTime = time.Duration(v * float64(time.Millisecond))
+		report.ServiceTime = time.Duration(value * float64(time.Millisecond))
 	case "rps", "qps":
-		r.Rate = v
+		report.Rate = value
 	case "err_rps", "eps":
-		r.ErrorRate = v
+		report.ErrorRate = value
 	default:
 		return false
 	}
--- /dev/null
+++ b/internal/settings/endpoints.go
@@ -0,0 +1,49 @@
+package settings
+
+import "bankshift/balancer"
+
+// onDemand translates membership_mode: whether endpoint updates come only on
+// demand.
+var onDemand = map[string]bool{
+	"pushed":     false,
+	"on_request": true,
+}
+
+func applyMembershipMode(mode string, s *balancer.Settings) error {
+	var err error
+	s.EndpointsOnDemand, err = lookupOptional(onDemand, "membership_mode", mode)
+	return err
+}
+
+// weight says what an endpoint's weight means.
+type weight struct {
+	known       bool
+	approximate bool
+	dynamic     bool
+}
+
+var weightKinds = map[string]weight{
+	"none":    {},
+	"nominal": {known: true},
+	"rough":   {known: true, approximate: true},
+	"live":    {known: true, dynamic: true},
+}
+
+func applyWeightKind(kind string, s *balancer.Settings) error {
+	weight, err := lookupOptional(weightKinds, "weight_kind", kind)
+	s.WeightKnown = weight.known
+	s.WeightApproximate = weight.approximate
+	s.WeightDynamic = weight.dynamic
+	return err
+}
+
+// endpoints is the section "specifics": how this kind of service behaves.
+type endpoints struct {
+	WarmKeys       bool `json:"warm_keys"`
+	PassesDeadline bool `json:"passes_deadline"`
+}
+
+func (e endpoints) apply(s *balancer.Settings) {
+	s.KeyAffinity = e.WarmKeys
+	s.PropagatesDeadline = e.PassesDeadline
+}
--- /dev/null
+++ b/internal/settings/errors.go
@@ -0,0 +1,49 @@
+package settings
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// ErrMissing reports a settings object that is JSON null.
+var ErrMissing = errors.New("settings is missing")
+
+// Error reports a value that is not among those allowed for its key.
+type Error struct {
+	Element string // the list element that holds the key, such as "classes[1]"; empty: the settings object itself
+	Key     string // such as "effect" or "report.how"
+	Value   string // the value found
+	Want    string // the allowed values
+}
+
+func (e *Error) Error() string {
+	where := ""
+	if e.Element != "" {
+		where = " in " + e.Element
+	}
+	return fmt.Sprintf("unknown %s %q%s, want %s", e.Key, e.Value, where, e.Want)
+}
+
+// lookup translates the value of a key. An unknown value is an *Error without
+// an element.
+func lookup[V any](allowed map[string]V, key, value string) (V, error) {
+	translated, ok := allowed[value]
+	if !ok {
+		names := slices.Sorted(maps.Keys(allowed))
+		return translated, &Error{Key: key, Value: value, Want: "one of " + strings.Join(names, ", ")}
+	}
+	return translated, nil
+}
+
+// lookupOptional is lookup for a key that may be absent or empty, which is the
+// zero value.
+func lookupOptional[V any](allowed map[string]V, key, value string) (V, error) {
+	if value == "" {
+		var zero V
+		return zero, nil
+	}
+	return lookup(allowed, key, value)
+}
--- /dev/null
+++ b/internal/settings/loadreports.go
@@ -0,0 +1,22 @@
+package settings
+
+import "bankshift/balancer"
+
+var loadReportSources = map[string]balancer.LoadReportSource{
+	"none":    balancer.NoLoadReports,
+	"probe":   balancer.LoadReportsByHealthCheck,
+	"answers": balancer.LoadReportsByResponse,
+}
+
+// loadReports is the section "report".
+type loadReports struct {
+	How    string   `json:"how"`
+	Fields []string `json:"fields"`
+}
+
+func (l loadReports) apply(s *balancer.Settings) error {
+	source, err := lookupOptional(loadReportSources, "report.how", l.How)
+	s.LoadReportSource = source
+	s.LoadReportFields = l.Fields
+	return err
+}
--- /dev/null
+++ b/internal/settings/score.go
@@ -0,0 +1,51 @@
+package settings
+
+import "bankshift/balancer"
+
+// costs is the section "charges": points off the operators' result for each unit.
+type costs struct {
+	Connection float64 `json:"connection"`
+	Handshake  float64 `json:"handshake"`
+	CrossZone  float64 `json:"cross_zone"`
+	Waste      float64 `json:"waste"`
+	LateFail   float64 `json:"late_fail"`
+	Probe      float64 `json:"probe"`
+	Peer       float64 `json:"peer"`
+	Moves      float64 `json:"moves"`
+	Origin     float64 `json:"origin"`
+	Membership float64 `json:"membership_mode"`
+	Fleet      float64 `json:"fleet"`
+}
+
+func (c *costs) apply(s *balancer.Settings) {
+	s.Costs = balancer.Costs{
+		Connection:     c.Connection,
+		Handshake:      c.Handshake,
+		CrossZone:      c.CrossZone,
+		Waste:          c.Waste,
+		LateFailure:    c.LateFail,
+		HealthCheck:    c.Probe,
+		Gossip:         c.Peer,
+		Migration:      c.Moves,
+		Origin:         c.Origin,
+		EndpointUpdate: c.Membership,
+		Fleet:          c.Fleet,
+	}
+}
+
+// goal is the section "goal": the weights of the parts of the result.
+type goal struct {
+	Whole       float64 `json:"whole"`
+	WorstWindow float64 `json:"worst_window"`
+	WorstClass  float64 `json:"worst_class"`
+	WorstTenant float64 `json:"worst_tenant"`
+}
+
+func (g goal) apply(s *balancer.Settings) {
+	s.Goal = balancer.Goal{
+		Whole:       g.Whole,
+		WorstWindow: g.WorstWindow,
+		WorstClass:  g.WorstClass,
+		WorstTenant: g.WorstTenant,
+	}
+}
