--- a/internal/lab/hollow/pool.go
+++ b/internal/lab/hollow/pool.go
@@ -6,7 +6,7 @@
 
 	"bankshift/balancer"
 	"bankshift/internal/lab/model"
-	"bankshift/internal/node"
+	"bankshift/internal/upstream"
 )
 
 // pool does with connections what the pool of internal/node/backend.go does.
@@ -44,7 +44,7 @@
 func (p *pool) init(n *hnode, most int) {
 	*p = pool{n: n, most: most, backends: map[balancer.EndpointID]*backend{}, maxIdle: time.Minute}
 	if idle := n.cfg.Settings.IdleConnectionTimeout; idle > 0 {
-		p.maxIdle = time.Duration(node.IdlePart * float64(idle))
+		p.maxIdle = time.Duration(upstream.IdlePart * float64(idle))
 	}
 }
 
@@ -103,7 +103,7 @@
 	now := p.n.m.now
 	for i := len(b.idle) - 1; i >= 0; i-- {
 		c := b.idle[i]
-		if now-c.idleAt < node.RestTime {
+		if now-c.idleAt < upstream.RestTime {
 			continue
 		}
 		b.idle = slices.Delete(b.idle, i, i+1)
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -7,8 +7,9 @@
 	"net"
 	"os"
 	"sync"
-	"syscall"
 	"time"
+
+	"bankshift/internal/sockets"
 )
 
 // What is read ahead of a connection is bounded, and so is what is read ahead
@@ -62,7 +63,7 @@
 func newLimitedConn(c net.Conn, of *limited, since time.Time) *limitedConn {
 	lc := &limitedConn{Conn: c, of: of, made: time.Now(), leave: func() {}}
 	lc.changed.L = &lc.mu
-	if !silent(c) {
+	if !sockets.Quiet(c) {
 		lc.queued = since
 	}
 	return lc
@@ -207,11 +208,11 @@
 // read ahead.
 func (c *limitedConn) left(ctx context.Context) bool {
 	for waited := time.Duration(0); ; waited += aheadStep {
-		n, err := peek(c.Conn)
-		if lost(n, err) {
+		n, err := sockets.Peek(c.Conn)
+		if sockets.Closed(n, err) {
 			return true
 		}
-		if n < 1 || waited >= aheadTime || !sleep(ctx, aheadStep) {
+		if n < 1 || waited >= aheadTime || !sockets.Sleep(ctx, aheadStep) {
 			return ctx.Err() != nil // it left while earlier requests of its were served, or sent too much
 		}
 	}
@@ -219,21 +220,7 @@
 
 // hasLeft tells whether the client's end is the next to be read, which nobody
 // may have done yet.
-func (c *limitedConn) hasLeft() bool { return lost(peek(c.Conn)) }
-
-// lost tells whether a peek has found the connection's end.
-func lost(n int, err error) bool {
-	if err == nil {
-		return n == 0
-	}
-	for _, errno := range []syscall.Errno{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
-		syscall.EPIPE, syscall.ECONNABORTED, syscall.ENOTCONN} {
-		if errors.Is(err, errno) {
-			return true
-		}
-	}
-	return false
-}
+func (c *limitedConn) hasLeft() bool { return sockets.Closed(sockets.Peek(c.Conn)) }
 
 // setOpen tells whether a request, which has come whole, waits for its answer.
 func (c *limitedConn) setOpen(open bool) {
@@ -319,7 +306,7 @@
 func (c *limitedConn) retire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.heard || c.pumping || !silent(c.Conn) {
+	if c.heard || c.pumping || !sockets.Quiet(c.Conn) {
 		return c.retired
 	}
 	c.retired = true
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"bankshift/balancer"
+	"bankshift/internal/sockets"
 )
 
 // requests writes so many requests as a client would that does not wait for answers.
@@ -169,7 +170,7 @@
 	t.Run("unread", func(t *testing.T) {
 		c, client := connPair(t)
 		io.WriteString(client, "GET")
-		for until := time.Now().Add(enough); silent(c.Conn) && time.Now().Before(until); {
+		for until := time.Now().Add(enough); sockets.Quiet(c.Conn) && time.Now().Before(until); {
 			time.Sleep(time.Millisecond)
 		}
 		if c.retire() {
--- a/internal/node/closing_test.go
+++ b/internal/node/closing_test.go
@@ -2,18 +2,14 @@
 
 import (
 	"bufio"
-	"context"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"slices"
 	"strings"
 	"sync"
 	"testing"
 	"time"
-
-	"bankshift/balancer"
 )
 
 // TestRetireSparesAReadRequest: a connection comes to rest and is given up in
@@ -136,42 +132,13 @@
 	}
 }
 
-// TestKilledBehindAccept: a server dies behind the accept. A request of which it
-// has read the last byte may have run; no other is told so without cause.
-func TestKilledBehindAccept(t *testing.T) {
-	for name, c := range map[string]struct {
-		read func(r *bufio.Reader)
-		want []balancer.Outcome
-	}{
-		"nothing read": {func(*bufio.Reader) {}, []balancer.Outcome{balancer.ConnectFailed, balancer.Reset}},
-		"half read":    {func(r *bufio.Reader) { r.ReadByte() }, []balancer.Outcome{balancer.ConnectFailed, balancer.Reset}},
-		"all read":     {func(r *bufio.Reader) { readRequest(r) }, []balancer.Outcome{balancer.Reset}},
-	} {
-		p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-			c.read(r)
-			conn.(*net.TCPConn).SetLinger(0) // the close resets
-		}))
-		o := get("/api/x")
-		o.method, o.body = "POST", make([]byte, maxBody)
-		ctx, cancel := context.WithTimeout(context.Background(), enough)
-		for range 50 {
-			if res := p.attempt(ctx, ctx, 1, o); !slices.Contains(c.want, res.code) {
-				t.Errorf("%s: outcome %d, want one of %d", name, res.code, c.want)
-			}
-		}
-		if cancel(); p.open != 0 {
-			t.Errorf("%s: %d connections are kept", name, p.open)
-		}
-	}
-}
-
 // TestUnsentIsRefusedAtTheEnd: a request whose connection is still coming up
 // when the node has to answer all has not been sent, so its client may try again.
 func TestUnsentIsRefusedAtTheEnd(t *testing.T) {
 	address, got := listening(t)
 	n := startNode(t, address)
 	n.front.stages.answered = 0
-	begun, release := slowDials(n.backends)
+	begun, release := slowDials(n.dials)
 	answers := make(chan reply, 1)
 	go func() { answers <- do(t, n.request(t, "POST", "pagar", "q", "600", strings.NewReader("x"))) }()
 	wait(t, begun, "the connection to begin")
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -12,6 +12,7 @@
 	"bankshift/balancer"
 	"bankshift/internal/discovery"
 	"bankshift/internal/settings"
+	"bankshift/internal/sockets"
 )
 
 // What a node without stated limits may use.
@@ -62,7 +63,7 @@
 func readPatiently(read func() ([]byte, error)) ([]byte, error) {
 	for tries := 1; ; tries++ {
 		raw, err := read()
-		if err == nil || tries == readTries || !local(err) {
+		if err == nil || tries == readTries || !sockets.LocalFailure(err) {
 			return raw, err
 		}
 		time.Sleep(readWait)
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -16,6 +16,7 @@
 
 	"bankshift/balancer"
 	"bankshift/internal/discovery"
+	"bankshift/internal/upstream"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -34,6 +35,7 @@
 
 func TestFollowSetsAddresses(t *testing.T) {
 	n := New(testConfig("127.0.0.1:1"), quiet)
+	dials := hookDials(n, func(*upstream.Config) {})
 	apply := func(kind balancer.UpdateKind, entries ...string) {
 		l := discovery.List{Version: 1, Snapshot: kind != balancer.IncrementalUpdate}
 		for _, e := range entries {
@@ -43,13 +45,18 @@
 	}
 	check := func(when string, want map[string]string) {
 		t.Helper()
-		if n.servers.Len() != len(want) || len(n.backends.backends) != len(want) {
-			t.Errorf("%s: %d listed, %d in the pool, want %d", when, n.servers.Len(), len(n.backends.backends), len(want))
+		pooled := map[string]string{}
+		for _, name := range []string{"a", "b", "c", "d"} {
+			if address, _ := dials.pooled(t, n, name, syscall.ECONNREFUSED); address != "" {
+				pooled[name] = address
+			}
+		}
+		if n.servers.Len() != len(want) || len(pooled) != len(want) {
+			t.Errorf("%s: %d listed, %d in the pool, want %d", when, n.servers.Len(), len(pooled), len(want))
 		}
 		for name, address := range want {
-			id, listed := n.servers.ID(name)
-			if b := n.backends.backends[id]; !listed || b == nil || b.address != address {
-				t.Errorf("%s: %s is at %+v, want %s", when, name, b, address)
+			if _, listed := n.servers.ID(name); !listed || pooled[name] != address {
+				t.Errorf("%s: %s is at %q, want %s", when, name, pooled[name], address)
 			}
 		}
 		if n.front.ready.Load() != (len(want) > 0) {
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"bankshift/balancer"
+	"bankshift/internal/upstream"
 )
 
 const (
@@ -35,6 +36,8 @@
 	writeTime   = 5 * time.Second         // for an answer
 	dregsTime   = 200 * time.Millisecond  // for what is left of a request that is turned away
 	idleTime    = 2800 * time.Millisecond // for a connection between requests, as a part of the next may be in net/http's buffer
+	maxHead     = 16 << 10                // of a request
+	maxBody     = 64 << 10                // of a request
 	maxIDLength = 128
 	maxPatience = time.Hour
 )
@@ -170,7 +173,7 @@
 		if c.left(ctx) {
 			return answer{}, false
 		}
-		req.out.left = c.hasLeft
+		req.out.ClientLeft = c.hasLeft
 	}
 	req.open, req.end = context.WithCancel(ctx)
 	defer req.end()
@@ -284,7 +287,7 @@
 	}
 	u := url.URL{Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery, ForceQuery: r.URL.ForceQuery}
 	return &request{id: e.ID, deadline: arrived.Add(patience - AnswerMargin), answer: make(chan answer, 1),
-		out: &outbound{method: r.Method, url: &u, host: r.Host, header: endToEnd(r.Header), body: body}}, e, 0, nil
+		out: &upstream.Request{Method: r.Method, URL: &u, Host: r.Host, Header: endToEnd(r.Header), Body: body}}, e, 0, nil
 }
 
 func seconds(s string) (time.Duration, error) {
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -3,51 +3,19 @@
 import (
 	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"strconv"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 
 	"bankshift/balancer"
+	"bankshift/internal/sockets"
 )
 
-// slowDials makes a pool's connections wait: begun gets a value when one
-// begins to come up, and it does not until release has a value or is closed.
-func slowDials(p *pool) (begun chan bool, release chan struct{}) {
-	begun, release = make(chan bool, 10), make(chan struct{}, 1)
-	p.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
-		begun <- true
-		select {
-		case <-release:
-		case <-ctx.Done():
-		}
-		return nil
-	}
-	return begun, release
-}
-
-// listening is a server that tells what comes on its connections: a request's id, or "" for an end.
-func listening(t *testing.T) (address string, got chan string) {
-	got = make(chan string, 10)
-	return backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
-		for {
-			req := readRequest(r)
-			if req == nil {
-				got <- ""
-				return
-			}
-			got <- req.Header.Get("X-Request-Id")
-			io.WriteString(c, okAnswer)
-		}
-	}), got
-}
-
 // held lets time pass, so much that it shows in the time told to a server.
 func held() { time.Sleep(60 * time.Millisecond) }
 
@@ -90,7 +58,7 @@
 	}
 	n := startNodeWith(t, func(s *balancer.Settings) { s.HedgingAllowed, s.ConnectTimeout = true, patience },
 		backendServer(t, serve), backendServer(t, serve), backendServer(t, serve))
-	begun, up := slowDials(n.backends)
+	begun, up := slowDials(n.dials)
 	c := n.dial(t)
 	c.ask(t, "saldo", "q", strconv.FormatFloat(patience.Seconds(), 'f', 3, 64))
 	wait(t, begun, "the first connection")
@@ -186,67 +154,6 @@
 	return n.front.conns.conns - len(n.front.conns.unused)
 }
 
-// TestNothingLeftNothingSent: a request is not sent with no time to tell.
-func TestNothingLeftNothingSent(t *testing.T) {
-	address, got := listening(t)
-	p := testPool(address)
-	if res := try(t, p, enough); res.code != balancer.OK {
-		t.Fatalf("outcome %d", res.code)
-	}
-	wait(t, got, "the first request")
-	// The clock of a context may be behind: its deadline has passed, and it has not ended.
-	late := lateContext{context.Background(), time.Now().Add(leastTold - 1)}
-	if res := p.attempt(late, late, 1, get("/api/x")); res.code != balancer.NotSent {
-		t.Errorf("outcome %d, want Moot", res.code)
-	}
-	if _, c, err := p.take(1); err != nil || c == nil {
-		t.Errorf("the connection is not kept: %v", err)
-	} else {
-		c.Close()
-	}
-	if id := wait(t, got, "the connection's end"); id != "" {
-		t.Errorf("request %q was sent", id)
-	}
-}
-
-// lateContext has a deadline at which it does not end.
-type lateContext struct {
-	context.Context
-	deadline time.Time
-}
-
-func (c lateContext) Deadline() (time.Time, bool) { return c.deadline, true }
-
-// TestLeavingWhileDialling: a server is announced as leaving, restarted or
-// removed while a connection to it comes up. Nothing new may go there.
-func TestLeavingWhileDialling(t *testing.T) {
-	for name, announce := range map[string]func(p *pool, address string){
-		"draining":  func(p *pool, address string) { p.set(1, address, 0, true) },
-		"restarted": func(p *pool, address string) { p.set(1, address, 1, false) },
-		"removed":   func(p *pool, _ string) { p.remove(1) },
-	} {
-		t.Run(name, func(t *testing.T) {
-			address, got := listening(t)
-			p := testPool(address)
-			begun, release := slowDials(p)
-			ended := make(chan result, 1)
-			go func() { ended <- try(t, p, enough) }()
-			wait(t, begun, "the connection to begin")
-			announce(p, address)
-			close(release)
-			if res := wait(t, ended, "the attempt's end"); res.code != balancer.NotSent {
-				t.Errorf("outcome %d, want Moot", res.code)
-			}
-			if id := wait(t, got, "the connection's end"); id != "" {
-				t.Errorf("request %q was sent", id)
-			}
-			if p.open != 0 {
-				t.Errorf("%d connections are kept", p.open)
-			}
-		})
-	}
-}
-
 // TestClientGoneWhileDialling: what has not begun is called off though the
 // settings do not let work be cancelled, and though the loop is busy.
 func TestClientGoneWhileDialling(t *testing.T) {
@@ -254,7 +161,7 @@
 		t.Run(fmt.Sprintf("busy %v", busy), func(t *testing.T) {
 			address, got := listening(t)
 			n := startNodeWith(t, func(s *balancer.Settings) { s.CancelAllowed, s.MinEventInterval = false, time.Hour }, address)
-			begun, release := slowDials(n.backends)
+			begun, release := slowDials(n.dials)
 			c := n.dial(t)
 			c.ask(t, "saldo", "q", "60")
 			wait(t, begun, "the connection to begin")
@@ -422,8 +329,8 @@
 			n := startNode(t, address)
 			c, client := connPair(t)
 			leave(client.(*net.TCPConn))
-			await(t, "the end to come", func() bool { return !silent(c.Conn) })
-			req := &request{id: "q", out: get("/api/x"), deadline: time.Now().Add(enough), answer: make(chan answer, 1)}
+			await(t, "the end to come", func() bool { return !sockets.Quiet(c.Conn) })
+			req := &request{id: "q", out: getRequest("/api/x"), deadline: time.Now().Add(enough), answer: make(chan answer, 1)}
 			event := balancer.RequestArrived{ID: "q", Class: "saldo"}
 			if a, ok := n.front.answer(context.WithValue(t.Context(), connKey{}, c), req, event); ok {
 				t.Errorf("answer %d to a client that has left", a.status)
@@ -476,39 +383,12 @@
 	n.mustNotSend(t, got, "q")
 }
 
-// TestGoneInTheLastInstant: the client leaves when the connection is up and
-// nothing has been written.
-func TestGoneInTheLastInstant(t *testing.T) {
-	address, got := listening(t)
-	p := testPool(address)
-	open, leave := context.WithCancel(context.Background())
-	p.dialer.ControlContext = func(context.Context, string, string, syscall.RawConn) error { return nil }
-	first, cancel := context.WithTimeout(context.Background(), enough)
-	defer cancel()
-	if res := p.attempt(first, open, 1, get("/api/x")); res.code != balancer.OK {
-		t.Fatalf("outcome %d", res.code)
-	}
-	wait(t, got, "the first request")
-	leave() // an idle connection needs no dialling
-	if res := p.attempt(first, open, 1, get("/api/x")); res.code != balancer.NotSent {
-		t.Errorf("outcome %d, want Moot", res.code)
-	}
-	if _, c, err := p.take(1); err != nil || c == nil || !errors.Is(open.Err(), context.Canceled) {
-		t.Errorf("the connection is not kept: %v", err)
-	} else {
-		c.Close()
-	}
-	if id := wait(t, got, "the connection's end"); id != "" {
-		t.Errorf("request %q was sent", id)
-	}
-}
-
 // TestWindowEndsWhileDialling: a keyed request may go out again for as long as
 // its servers drop repeats, and no longer, however late its connection comes up.
 func TestWindowEndsWhileDialling(t *testing.T) {
 	silent, got, _ := silentServer(t)
 	n := startNodeWith(t, func(s *balancer.Settings) { s.HedgingAllowed, s.ConnectTimeout = true, 3*enough }, silent)
-	begun, release := slowDials(n.backends)
+	begun, release := slowDials(n.dials)
 	release <- struct{}{} // for the first one
 	c := n.dial(t)
 	c.ask(t, "saldo", "q", "60")
@@ -534,23 +414,6 @@
 	}
 }
 
-// TestLostConnectionsShow: a client's connection that has broken shows in all the ways of recv(2).
-func TestLostConnectionsShow(t *testing.T) {
-	for _, c := range []struct {
-		n    int
-		err  error
-		left bool
-	}{
-		{0, nil, true}, {-1, syscall.ECONNRESET, true}, {-1, syscall.ETIMEDOUT, true}, {-1, syscall.EHOSTUNREACH, true},
-		{-1, syscall.ENETUNREACH, true}, {-1, syscall.EPIPE, true}, {-1, syscall.ECONNABORTED, true}, {-1, syscall.ENOTCONN, true},
-		{1, nil, false}, {-1, syscall.EAGAIN, false}, {-1, syscall.EINTR, false}, {-1, syscall.ENOMEM, false}, {0, errors.ErrUnsupported, false},
-	} {
-		if lost(c.n, c.err) != c.left {
-			t.Errorf("%d bytes, %v: left %v, want %v", c.n, c.err, !c.left, c.left)
-		}
-	}
-}
-
 // lateEnds accepts connections of which a reader learns the end only when it is released, as in a process that is held up
 // between the end and its next step.
 type lateEnds struct {
@@ -591,7 +454,7 @@
 			ln := lateEnds{listen(t), make(chan struct{})}
 			defer close(ln.release)
 			n := startNodeOn(t, ln, func(*Config) {}, address)
-			begun, up := slowDials(n.backends)
+			begun, up := slowDials(n.dials)
 			c := n.dial(t)
 			c.ask(t, "saldo", "q", "60")
 			wait(t, begun, "the connection to begin")
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -7,6 +7,8 @@
 	"net"
 	"syscall"
 	"time"
+
+	"bankshift/internal/sockets"
 )
 
 const (
@@ -23,13 +25,13 @@
 func listenWith(ctx context.Context, lc net.ListenConfig, address string, log *slog.Logger) (net.Listener, error) {
 	for tries := 1; ; tries++ {
 		ln, err := lc.Listen(ctx, "tcp", address)
-		if err == nil || tries == listenTries || !local(err) && !errors.Is(err, syscall.EADDRINUSE) {
+		if err == nil || tries == listenTries || !sockets.LocalFailure(err) && !errors.Is(err, syscall.EADDRINUSE) {
 			return ln, err
 		}
 		if tries == 1 {
 			log.Warn("listening for clients fails, and is tried again", "err", err)
 		}
-		if !sleep(ctx, listenWait) {
+		if !sockets.Sleep(ctx, listenWait) {
 			return nil, err
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,6 +14,7 @@
 
 	"bankshift/balancer"
 	"bankshift/internal/discovery"
+	"bankshift/internal/upstream"
 )
 
 const (
@@ -32,7 +33,7 @@
 	inbox chan func() // run by the loop, one at a time
 	ended chan struct{}
 
-	backends  *pool
+	backends  *upstream.Pool
 	discovery *discovery.Client
 	front     *frontend
 
@@ -49,7 +50,7 @@
 // request is a client's request until it is answered and its attempts have ended.
 type request struct {
 	id       balancer.RequestID
-	out      *outbound
+	out      *upstream.Request
 	deadline time.Time
 	answer   chan answer // takes the one final answer
 	done     bool
@@ -74,7 +75,7 @@
 		module: balancer.New(cfg.Settings, cfg.Seed), servers: discovery.Directory{Log: log},
 		requests: map[balancer.RequestID]*request{}}
 	clients, backends := cfg.Connections()
-	n.backends = newPool(cfg.Settings, backends)
+	n.backends = upstream.NewPool(upstream.ConfigFor(cfg.Settings, backends))
 	n.front = newFrontend(n, clients)
 	n.discovery = n.discoveryAt(cfg.Discovery)
 	return n
@@ -126,7 +127,7 @@
 	n.ctx = inner
 	first := n.discovery // the loop may replace it
 	go n.loop(inner)
-	go n.backends.run(inner)
+	go n.backends.Run(inner)
 	n.post(func() { n.follow(n.cfg.Known, balancer.CachedUpdate) })
 	go first.Run(inner)
 	err := n.front.serve(ctx, ln)
@@ -192,7 +193,7 @@
 	case balancer.SetTimer:
 		time.AfterFunc(a.After, func() { n.post(func() { n.handle(balancer.TimerFired{Token: a.Token}) }) })
 	case balancer.CloseIdleConnections:
-		n.backends.closeIdle(a.Endpoint)
+		n.backends.CloseIdle(a.Endpoint)
 	case balancer.Subscribe:
 		n.discovery.Request(false, a.On)
 	case balancer.FetchEndpoints:
@@ -232,7 +233,7 @@
 			if !r.done {
 				r.end() // from here on nothing is sent
 				last := answer{status: http.StatusGatewayTimeout}
-				if !r.out.sent.Load() {
+				if !r.out.MayBeSent() {
 					last = answer{status: http.StatusServiceUnavailable, holdOff: n.module.RetryAfter(e.Class)}
 				}
 				n.finish(r.id, last)
@@ -317,23 +318,23 @@
 	go func() {
 		defer cancel()
 		defer endOpen()
-		res := n.backends.attempt(ctx, open, a.Endpoint, r.out)
+		res := n.backends.Attempt(ctx, open, a.Endpoint, r.out)
 		took, waited := time.Since(began), time.Duration(0)
-		if !res.sent.IsZero() {
-			waited = time.Since(res.sent)
+		if !res.SentAt.IsZero() {
+			waited = time.Since(res.SentAt)
 		}
 		n.post(func() { n.attemptEnded(r, number, a.Endpoint, took, waited, res) })
 	}()
 }
 
-func (n *Node) attemptEnded(r *request, number int, server balancer.EndpointID, took, waited time.Duration, res result) {
+func (n *Node) attemptEnded(r *request, number int, server balancer.EndpointID, took, waited time.Duration, res upstream.Result) {
 	r.running--
-	if res.code == balancer.OK {
-		n.finish(r.id, answer{status: http.StatusOK, header: res.header, body: res.body})
+	if res.Outcome == balancer.OK {
+		n.finish(r.id, answer{status: http.StatusOK, header: res.Header, body: res.Body})
 	}
 	over := r.done
 	n.handle(balancer.AttemptEnded{ID: r.id, Attempt: number, Endpoint: server, RequestDone: over, Elapsed: took, SinceSent: waited,
-		Outcome: res.code, Report: res.report})
+		Outcome: res.Outcome, Report: res.Report})
 	n.forget(r)
 }
 
@@ -343,26 +344,14 @@
 	u, changes := n.servers.Apply(l, kind)
 	for _, c := range changes {
 		if c.State != balancer.Removed {
-			n.backends.set(c.ID, c.Address, c.StartedAtMS, c.State != balancer.Ready)
+			n.backends.Set(c.ID, c.Address, c.StartedAtMS, c.State != balancer.Ready)
 		}
 	}
 	n.handle(u)
 	for _, c := range changes {
 		if c.State == balancer.Removed {
-			n.backends.remove(c.ID)
+			n.backends.Remove(c.ID)
 		}
 	}
 	n.front.ready.Store(n.servers.Len() > 0)
 }
-
-// sleep waits, and tells whether it was left to wait to the end.
-func sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"bankshift/balancer"
+	"bankshift/internal/upstream"
 )
 
 func testConfig(discovery string) Config {
@@ -35,6 +36,7 @@
 // running is a node under test, with a discovery that knows its servers.
 type running struct {
 	*Node
+	dials   *dialHook // of its pool
 	address string
 	stop    context.CancelFunc
 	linger  func() // ends the time in which a stopped node goes on accepting
@@ -64,6 +66,18 @@
 
 // startNodeOn starts a node on a listener; its configuration is changed first.
 func startNodeOn(t *testing.T, ln net.Listener, change func(*Config), servers ...string) *running {
+	t.Helper()
+	return startNodeWithPool(t, ln, change, func(*upstream.Config) {}, servers...)
+}
+
+// startNodeResting starts a node whose connections to servers rest for so long after an answer.
+func startNodeResting(t *testing.T, rest time.Duration, change func(*balancer.Settings), servers ...string) *running {
+	t.Helper()
+	return startNodeWithPool(t, listen(t), func(c *Config) { change(&c.Settings) }, func(c *upstream.Config) { c.RestTime = rest }, servers...)
+}
+
+// startNodeWithPool starts a node on a listener; its configuration and that of its pool are changed first.
+func startNodeWithPool(t *testing.T, ln net.Listener, change func(*Config), changePool func(*upstream.Config), servers ...string) *running {
 	t.Helper()
 	var entries []string
 	for i, s := range servers {
@@ -85,6 +99,7 @@
 	change(&cfg)
 	n := &running{Node: New(cfg, quiet), address: ln.Addr().String(), stop: stop,
 		ended: make(chan error, 1)}
+	n.dials = hookDials(n.Node, changePool)
 	lingered := make(chan struct{})
 	n.linger = sync.OnceFunc(func() { close(lingered) })
 	n.front.linger = func(func() int) { <-lingered }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -11,6 +11,7 @@
 
 	"bankshift/balancer"
 	"bankshift/internal/discovery"
+	"bankshift/internal/upstream"
 )
 
 // TestWholeListLeavesOut: a whole list, after a reload or from the watch that
@@ -61,7 +62,7 @@
 			if c.status != "" {
 				whole = append(whole, entry(c.status, c.since))
 			}
-			n := startNode(t, address)
+			n := startNodeResting(t, time.Hour, func(*balancer.Settings) {}, address) // so that each request needs a new connection
 			follow := func(kind balancer.UpdateKind, entries ...string) {
 				l := discovery.List{Version: 1, Snapshot: kind == balancer.FullUpdate}
 				for _, e := range entries {
@@ -69,10 +70,7 @@
 				}
 				n.post(func() { n.follow(l, kind) })
 			}
-			n.backends.mu.Lock()
-			n.backends.rest = time.Hour // so that each request needs a new connection
-			n.backends.mu.Unlock()
-			begun, come := slowDials(n.backends)
+			begun, come := slowDials(n.dials)
 			ask := func(id string) chan reply {
 				answer := make(chan reply, 1)
 				go func() { answer <- do(t, n.request(t, "GET", "saldo", id, "60", nil)) }()
@@ -122,18 +120,23 @@
 func TestLastEntryCounts(t *testing.T) {
 	for _, states := range [][2]string{{"draining", "ready"}, {"ready", "draining"}, {"gone", "ready"}, {"ready", "gone"}} {
 		n := New(testConfig("127.0.0.1:1"), quiet)
+		dials := hookDials(n, func(*upstream.Config) {})
+		address, _ := answering(t)
 		l := discovery.List{Version: 1, Snapshot: true}
 		const servers = 50
 		for _, state := range states {
 			for i := range servers {
-				l.Endpoints = append(l.Endpoints, json.RawMessage(entryJSON(fmt.Sprint("s", i), "127.0.0.1:1", state)))
+				l.Endpoints = append(l.Endpoints, json.RawMessage(entryJSON(fmt.Sprint("s", i), address, state)))
 			}
 		}
 		n.follow(l, balancer.FullUpdate)
-		leaving := 0
-		for _, b := range n.backends.backends {
-			if b.leaving {
-				leaving++
+		pooled, leaving := 0, 0
+		for i := range servers {
+			if dialled, outcome := dials.pooled(t, n, fmt.Sprint("s", i), nil); dialled != "" {
+				pooled++
+				if outcome == balancer.NotSent { // though its connection came up
+					leaving++
+				}
 			}
 		}
 		listed, left := servers, 0
@@ -143,8 +146,8 @@
 		case "draining":
 			left = servers
 		}
-		if len(n.backends.backends) != listed || n.servers.Len() != listed || leaving != left {
-			t.Errorf("%v: %d listed, %d leave; want %d and %d", states, len(n.backends.backends), leaving, listed, left)
+		if pooled != listed || n.servers.Len() != listed || leaving != left {
+			t.Errorf("%v: %d in the pool, %d leave; want %d and %d", states, pooled, leaving, listed, left)
 		}
 	}
 }
--- /dev/null
+++ b/internal/sockets/sockets.go
@@ -0,0 +1,89 @@
+// Package sockets holds what both sides of a node, the one to clients and the
+// one to endpoints, ask of a socket and of the errors that come from one.
+package sockets
+
+import (
+	"context"
+	"errors"
+	"net"
+	"syscall"
+	"time"
+)
+
+// Peek reports what a read of c would find at once, and consumes nothing: one
+// byte (1 and no error), the end of the connection (0 and no error), or an
+// error, which is EAGAIN if there is nothing to read.
+func Peek(c net.Conn) (n int, err error) {
+	sc, ok := c.(syscall.Conn)
+	if !ok {
+		return 0, errors.ErrUnsupported
+	}
+	raw, err := sc.SyscallConn()
+	if err != nil {
+		return 0, err
+	}
+	closed := raw.Control(func(fd uintptr) {
+		var b [1]byte
+		for again := true; again; again = errors.Is(err, syscall.EINTR) {
+			n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		}
+	})
+	if closed != nil {
+		return 0, closed
+	}
+	return n, err
+}
+
+// Quiet reports whether c is open with nothing to read. Another goroutine may
+// be blocked in a read of c meanwhile.
+func Quiet(c net.Conn) bool {
+	_, err := Peek(c)
+	return errors.Is(err, syscall.EAGAIN)
+}
+
+// Closed reports whether the results of Peek show that the peer has ended the
+// connection, or that it is broken.
+func Closed(n int, err error) bool {
+	if err == nil {
+		return n == 0
+	}
+	for _, errno := range []syscall.Errno{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
+		syscall.EPIPE, syscall.ECONNABORTED, syscall.ENOTCONN} {
+		if errors.Is(err, errno) {
+			return true
+		}
+	}
+	return false
+}
+
+// LocalFailure reports whether err comes from a shortage on this machine, such
+// as of descriptors, memory or ports, and so says nothing about the peer.
+func LocalFailure(err error) bool {
+	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+		syscall.EAGAIN, syscall.EINTR, syscall.EPERM} {
+		if errors.Is(err, errno) {
+			return true
+		}
+	}
+	return false
+}
+
+// Unreachable reports whether err says that there is no route to the peer,
+// which may be due to this machine, to the network or to the peer.
+func Unreachable(err error) bool {
+	return errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.EHOSTUNREACH) || errors.Is(err, syscall.ENETDOWN) ||
+		errors.Is(err, syscall.ETIMEDOUT)
+}
+
+// Sleep waits for d, as between two tries of an operation on a socket. It
+// reports false as soon as ctx ends before that.
+func Sleep(ctx context.Context, d time.Duration) bool {
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-t.C:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
--- a/internal/node/dial.go
+++ b/internal/upstream/dial.go
@@ -1,14 +1,14 @@
-package node
+package upstream
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net"
 	"os"
 	"slices"
-	"syscall"
 	"time"
+
+	"bankshift/internal/sockets"
 )
 
 const (
@@ -39,7 +39,7 @@
 // connect dials and waits for the first connection to the backend that comes
 // up, its own or one that an earlier attempt left behind. The caller has taken
 // leave for the first dial. An error proves that nothing was sent.
-func (p *pool) connect(ctx context.Context, b *backend) (*conn, error) {
+func (p *Pool) connect(ctx context.Context, b *backend) (*conn, error) {
 	w := &want{began: time.Now(), up: make(chan *conn, 1), failed: make(chan error, 2)}
 	var late, hedge <-chan time.Time
 	if limit := p.dialer.Timeout; limit > 0 {
@@ -85,7 +85,7 @@
 // leave takes w off those that wait, and gives the connection that it was
 // handed meanwhile. One dial more than there are attempts waiting goes on; the
 // next attempt will want it. The others end.
-func (p *pool) leave(b *backend, w *want) *conn {
+func (p *Pool) leave(b *backend, w *want) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if i := slices.Index(b.wants, w); i >= 0 {
@@ -105,7 +105,7 @@
 }
 
 // dial begins a connection, which is counted already. The caller holds p.mu.
-func (p *pool) dial(b *backend, w *want) {
+func (p *Pool) dial(b *backend, w *want) {
 	b.dials++
 	ctx, cancel := context.WithTimeout(context.Background(), max(dialLongest, p.dialer.Timeout))
 	w.dials = append(w.dials, cancel)
@@ -127,18 +127,18 @@
 // dialOut connects to an address. What fails on this machine's account fails
 // for a moment, so it is tried again until ctx ends. So is an address that can't
 // be reached, as that may be on this machine's account.
-func (p *pool) dialOut(ctx context.Context, address string, w *want) (net.Conn, error) {
+func (p *Pool) dialOut(ctx context.Context, address string, w *want) (net.Conn, error) {
 	d := p.dialer
 	d.Timeout = 0 // that of the attempt, which connect keeps
 	for wait := dialRetryFirst; ; wait = min(2*wait, dialRetryLast) {
 		raw, err := d.DialContext(ctx, "tcp", address)
-		if err == nil || !local(err) && !unreachable(err) {
+		if err == nil || !sockets.LocalFailure(err) && !sockets.Unreachable(err) {
 			return raw, err
 		}
 		p.mu.Lock()
 		w.obstacle = err
 		p.mu.Unlock()
-		if !sleep(ctx, wait) {
+		if !sockets.Sleep(ctx, wait) {
 			return nil, err
 		}
 	}
@@ -146,13 +146,13 @@
 
 // lateError tells why no connection has come up in time. A server that can't be
 // reached is to blame only where another one could be.
-func (p *pool) lateError(b *backend, w *want) error {
+func (p *Pool) lateError(b *backend, w *want) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case w.obstacle == nil:
 		return fmt.Errorf("dial %s: %w", b.address, os.ErrDeadlineExceeded)
-	case unreachable(w.obstacle) && p.upAt.Before(w.began):
+	case sockets.Unreachable(w.obstacle) && p.upAt.Before(w.began):
 		return fmt.Errorf("%w: %w", errCutOff, w.obstacle)
 	}
 	return w.obstacle
@@ -160,7 +160,7 @@
 
 // dialled hands a new connection to the attempt that has waited longest, or
 // keeps it for the next one. The caller holds p.mu.
-func (p *pool) dialled(b *backend, raw net.Conn) {
+func (p *Pool) dialled(b *backend, raw net.Conn) {
 	p.upAt = time.Now()
 	c := newConn(raw, p, b)
 	if len(b.wants) > 0 { // the last gate is up to the attempt
@@ -170,21 +170,3 @@
 	}
 	p.keep(c)
 }
-
-// local tells whether a dial has failed for want of something on this machine.
-func local(err error) bool {
-	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
-		syscall.EAGAIN, syscall.EINTR, syscall.EPERM} {
-		if errors.Is(err, errno) {
-			return true
-		}
-	}
-	return false
-}
-
-// unreachable tells whether an error says that no way leads to a server, which
-// can be the doing of this machine, of the network or of the server.
-func unreachable(err error) bool {
-	return errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.EHOSTUNREACH) || errors.Is(err, syscall.ENETDOWN) ||
-		errors.Is(err, syscall.ETIMEDOUT)
-}
--- a/internal/node/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -1,4 +1,4 @@
-package node
+package upstream
 
 import (
 	"context"
@@ -11,11 +11,12 @@
 	"time"
 
 	"bankshift/balancer"
+	"bankshift/internal/sockets"
 )
 
 // heldDials gives each new connection of a pool a gate of its own: it comes up
 // as the gate is closed. held gets the gates in the order in which dials begin.
-func heldDials(p *pool) (held chan chan struct{}) {
+func heldDials(p *Pool) (held chan chan struct{}) {
 	held = make(chan chan struct{}, 10)
 	p.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
 		gate := make(chan struct{})
@@ -31,7 +32,7 @@
 }
 
 // idleCount waits until the pool holds so many idle connections to server 1 and no dials.
-func idleCount(t *testing.T, p *pool, want int) {
+func idleCount(t *testing.T, p *Pool, want int) {
 	t.Helper()
 	for end := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
 		p.mu.Lock()
@@ -53,12 +54,12 @@
 	p := testPool(address)
 	p.dialer.Timeout = enough / 10 // so that the hedge comes in under a second
 	held := heldDials(p)
-	ended := make(chan result, 1)
+	ended := make(chan Result, 1)
 	go func() { ended <- try(t, p, enough) }()
 	first := <-held
 	close(<-held)
-	if res := <-ended; res.code != balancer.OK {
-		t.Fatalf("outcome %v over the second dial, want OK", res.code)
+	if res := <-ended; res.Outcome != balancer.OK {
+		t.Fatalf("outcome %v over the second dial, want OK", res.Outcome)
 	}
 	close(first)
 	idleCount(t, p, 2)
@@ -116,12 +117,12 @@
 	go func() { p.get(ctx, 1) }()
 	first := <-held
 	cancel()
-	ended := make(chan result, 1)
+	ended := make(chan Result, 1)
 	go func() { ended <- try(t, p, enough) }()
 	second := <-held
 	close(first)
-	if res := <-ended; res.code != balancer.OK {
-		t.Fatalf("outcome %v, want OK over the earlier dial", res.code)
+	if res := <-ended; res.Outcome != balancer.OK {
+		t.Fatalf("outcome %v, want OK over the earlier dial", res.Outcome)
 	}
 	close(second)
 	idleCount(t, p, 2)
@@ -136,8 +137,8 @@
 	if _, err := p.get(context.Background(), 1); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("got %v, want a time-out", err)
 	}
-	if res := try(t, p, enough); res.code != balancer.ConnectFailed {
-		t.Errorf("outcome %v, want ConnectFailed", res.code)
+	if res := try(t, p, enough); res.Outcome != balancer.ConnectFailed {
+		t.Errorf("outcome %v, want ConnectFailed", res.Outcome)
 	}
 }
 
@@ -148,7 +149,7 @@
 }
 
 // failDials has the dials of a pool fail while failing says so.
-func failDials(p *pool, failing func() error) {
+func failDials(p *Pool, failing func() error) {
 	p.dialer.ControlContext = func(context.Context, string, string, syscall.RawConn) error {
 		if err := failing(); err != nil {
 			return os.NewSyscallError("connect", err)
@@ -172,8 +173,8 @@
 				}
 				return nil
 			})
-			if res := try(t, p, enough); res.code != balancer.OK {
-				t.Errorf("outcome %d, want OK", res.code)
+			if res := try(t, p, enough); res.Outcome != balancer.OK {
+				t.Errorf("outcome %d, want OK", res.Outcome)
 			}
 			idleCount(t, p, 1)
 		})
@@ -190,7 +191,7 @@
 				address, _ := listening(t)
 				other, _ := listening(t)
 				p := testPool(address)
-				p.set(2, other, 0, false)
+				p.Set(2, other, 0, false)
 				p.dialer.Timeout = 200 * time.Millisecond
 				p.dialer.ControlContext = func(_ context.Context, _, to string, _ syscall.RawConn) error {
 					if to == address || !otherComesUp {
@@ -198,19 +199,19 @@
 					}
 					return nil
 				}
-				ended := make(chan result, 1)
+				ended := make(chan Result, 1)
 				began := time.Now()
 				go func() { ended <- try(t, p, enough) }()
 				held()
 				ctx, cancel := context.WithTimeout(context.Background(), enough)
 				defer cancel()
-				p.attempt(ctx, ctx, 2, get("/api/x"))
+				p.Attempt(ctx, ctx, 2, get("/api/x"))
 				want := balancer.NotSent
-				if otherComesUp && unreachable(errno) {
+				if otherComesUp && sockets.Unreachable(errno) {
 					want = balancer.ConnectFailed
 				}
-				if res := wait(t, ended, "the attempt's end"); res.code != want || time.Since(began) > enough/2 {
-					t.Errorf("outcome %d after %v, want %d", res.code, time.Since(began), want)
+				if res := wait(t, ended, "the attempt's end"); res.Outcome != want || time.Since(began) > enough/2 {
+					t.Errorf("outcome %d after %v, want %d", res.Outcome, time.Since(began), want)
 				}
 			})
 		}
@@ -222,7 +223,7 @@
 	p := testPool(refusing(t))
 	var dials atomic.Int32
 	failDials(p, func() error { dials.Add(1); return nil })
-	if res := try(t, p, enough); res.code != balancer.ConnectFailed || dials.Load() != 1 {
-		t.Errorf("outcome %d after %d dials, want ConnectFailed after one", res.code, dials.Load())
+	if res := try(t, p, enough); res.Outcome != balancer.ConnectFailed || dials.Load() != 1 {
+		t.Errorf("outcome %d after %d dials, want ConnectFailed after one", res.Outcome, dials.Load())
 	}
 }
--- a/internal/node/backend.go
+++ b/internal/upstream/pool.go
@@ -1,4 +1,5 @@
-package node
+// Package upstream sends requests to endpoints over pooled HTTP/1.1 connections.
+package upstream
 
 import (
 	"bufio"
@@ -17,15 +18,15 @@
 	"strings"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"bankshift/balancer"
 	"bankshift/internal/loadreport"
+	"bankshift/internal/sockets"
 )
 
 const (
-	maxBody  = 64 << 10 // of a request or an answer
+	maxBody  = 64 << 10 // of an answer
 	maxHead  = 16 << 10 // of an answer
 	maxInfos = 8        // 1xx answers ahead of the real one
 
@@ -43,8 +44,31 @@
 	RestTime = 25 * time.Millisecond
 )
 
-// pool keeps connections to servers. It never sends anything itself.
-type pool struct {
+// Config states how a pool makes and keeps connections.
+type Config struct {
+	Dialer         net.Dialer    // its Timeout is how long an attempt waits for a connection; 0: as long as the attempt lasts
+	MaxIdle        time.Duration // a connection that has been idle for so long is closed
+	RestTime       time.Duration // a connection carries no request for so long after a response
+	MaxConnections int           // idle, in use or being dialled
+}
+
+// ConfigFor returns the configuration that the settings ask for, with at most
+// maxConnections connections.
+func ConfigFor(s balancer.Settings, maxConnections int) Config {
+	c := Config{
+		Dialer:         net.Dialer{Timeout: s.ConnectTimeout, KeepAlive: -1},
+		MaxIdle:        time.Duration(IdlePart * float64(s.IdleConnectionTimeout)),
+		RestTime:       RestTime,
+		MaxConnections: maxConnections,
+	}
+	if s.IdleConnectionTimeout <= 0 {
+		c.MaxIdle = time.Minute
+	}
+	return c
+}
+
+// Pool keeps connections to endpoints and sends requests on them.
+type Pool struct {
 	dialer  net.Dialer
 	maxIdle time.Duration
 	rest    time.Duration
@@ -71,7 +95,7 @@
 type conn struct {
 	net.Conn
 	of     *backend
-	pool   *pool
+	pool   *Pool
 	budget io.LimitedReader // what one answer may take
 	read   *bufio.Reader
 	broken error // how reading ended, if the connection did
@@ -86,18 +110,15 @@
 	return n, err
 }
 
-func newPool(s balancer.Settings, most int) *pool {
-	p := &pool{most: most, rest: RestTime, backends: map[balancer.EndpointID]*backend{},
-		dialer: net.Dialer{Timeout: s.ConnectTimeout, KeepAlive: -1}}
-	if p.maxIdle = time.Duration(IdlePart * float64(s.IdleConnectionTimeout)); s.IdleConnectionTimeout <= 0 {
-		p.maxIdle = time.Minute
-	}
-	return p
+// NewPool returns an empty pool. Run closes its idle connections in time.
+func NewPool(c Config) *Pool {
+	return &Pool{dialer: c.Dialer, maxIdle: c.MaxIdle, rest: c.RestTime, most: c.MaxConnections,
+		backends: map[balancer.EndpointID]*backend{}}
 }
 
-// set takes a server's address from the list. Connections to an earlier
+// Set takes a server's address from the list. Connections to an earlier
 // process of it are worthless and are closed.
-func (p *pool) set(id balancer.EndpointID, address string, since int64, leaving bool) {
+func (p *Pool) Set(id balancer.EndpointID, address string, since int64, leaving bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
@@ -111,7 +132,8 @@
 	p.backends[id] = &backend{address: address, since: since, leaving: leaving}
 }
 
-func (p *pool) remove(id balancer.EndpointID) {
+// Remove closes the connections to an endpoint that is no longer listed.
+func (p *Pool) Remove(id balancer.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
@@ -121,8 +143,8 @@
 	}
 }
 
-// closeIdle closes the connections to a server that carry nothing.
-func (p *pool) closeIdle(id balancer.EndpointID) {
+// CloseIdle closes the connections to a server that carry nothing.
+func (p *Pool) CloseIdle(id balancer.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
@@ -130,7 +152,7 @@
 	}
 }
 
-func (p *pool) drop(b *backend) {
+func (p *Pool) drop(b *backend) {
 	for _, c := range b.idle {
 		c.Conn.Close()
 		p.open--
@@ -139,7 +161,7 @@
 }
 
 // expire closes the connections that have been idle too long.
-func (p *pool) expire(now time.Time) {
+func (p *Pool) expire(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, b := range p.backends {
@@ -153,15 +175,15 @@
 	}
 }
 
-// run expires idle connections until ctx ends.
-func (p *pool) run(ctx context.Context) {
-	for sleep(ctx, max(p.maxIdle/8, 50*time.Millisecond)) {
+// Run expires idle connections until ctx ends.
+func (p *Pool) Run(ctx context.Context) {
+	for sockets.Sleep(ctx, max(p.maxIdle/8, 50*time.Millisecond)) {
 		p.expire(time.Now())
 	}
 }
 
 // get finds an idle connection or dials. An error proves that nothing was sent.
-func (p *pool) get(ctx context.Context, id balancer.EndpointID) (*conn, error) {
+func (p *Pool) get(ctx context.Context, id balancer.EndpointID) (*conn, error) {
 	b, c, err := p.take(id)
 	if c != nil || err != nil {
 		return c, err
@@ -169,7 +191,7 @@
 	return p.connect(ctx, b)
 }
 
-func newConn(raw net.Conn, p *pool, of *backend) *conn {
+func newConn(raw net.Conn, p *Pool, of *backend) *conn {
 	c := &conn{Conn: raw, of: of, pool: p}
 	c.budget.R = c
 	c.read = bufio.NewReader(&c.budget)
@@ -177,7 +199,7 @@
 }
 
 // take returns an idle connection, or the backend with leave to dial it.
-func (p *pool) take(id balancer.EndpointID) (*backend, *conn, error) {
+func (p *Pool) take(id balancer.EndpointID) (*backend, *conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.backends[id]
@@ -194,7 +216,7 @@
 		// A connection that its server has closed, or on which it said
 		// something unasked, would end as a reset that may have run. Nothing
 		// has been sent on it, so another one can do.
-		if now.Sub(c.idleAt) < p.maxIdle && silent(c.Conn) {
+		if now.Sub(c.idleAt) < p.maxIdle && sockets.Quiet(c.Conn) {
 			return b, c, nil
 		}
 		c.Conn.Close()
@@ -208,7 +230,7 @@
 }
 
 // evict closes the connection that has been idle longest.
-func (p *pool) evict() bool {
+func (p *Pool) evict() bool {
 	var oldest *backend
 	for _, b := range p.backends {
 		if len(b.idle) > 0 && (oldest == nil || b.idle[0].idleAt.Before(oldest.idle[0].idleAt)) {
@@ -242,7 +264,7 @@
 
 // keep makes a connection one of the idle ones, if its server still wants
 // requests. The caller holds p.mu.
-func (p *pool) keep(c *conn) {
+func (p *Pool) keep(c *conn) {
 	if c.of.closed || c.of.leaving {
 		c.Conn.Close()
 		p.open--
@@ -252,46 +274,21 @@
 	c.of.idle = append(c.of.idle, c)
 }
 
-// silent tells whether a connection is open with nothing to read, also while
-// somebody waits to read it.
-func silent(c net.Conn) bool {
-	_, err := peek(c)
-	return errors.Is(err, syscall.EAGAIN)
-}
-
-// peek tells what a read would find at once: a byte, the end (0 and no error),
-// or an error, EAGAIN where there is nothing to read.
-func peek(c net.Conn) (n int, err error) {
-	sc, ok := c.(syscall.Conn)
-	if !ok {
-		return 0, errors.ErrUnsupported
-	}
-	raw, err := sc.SyscallConn()
-	if err != nil {
-		return 0, err
-	}
-	closed := raw.Control(func(fd uintptr) {
-		var b [1]byte
-		for again := true; again; again = errors.Is(err, syscall.EINTR) {
-			n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		}
-	})
-	if closed != nil {
-		return 0, closed
-	}
-	return n, err
+// Request is what goes to an endpoint for a client's request. Its attempts
+// share it, so it is not changed once the first has begun.
+type Request struct {
+	Method     string
+	URL        *url.URL
+	Host       string
+	Header     http.Header // end-to-end headers only
+	Body       []byte
+	ClientLeft func() bool // reports whether the client has left; nil: it is not known
+
+	mayBeSent atomic.Bool
 }
 
-// outbound is what goes to a server for a client's request.
-type outbound struct {
-	method string
-	url    *url.URL
-	host   string
-	header http.Header // end to end ones
-	body   []byte
-	sent   atomic.Bool // an attempt may have begun to write it
-	left   func() bool // whether its client has left; nil: it is not known
-}
+// MayBeSent reports whether an attempt may have begun to write the request.
+func (r *Request) MayBeSent() bool { return r.mayBeSent.Load() }
 
 // message is a request as it is written to a server, but for the time that it
 // tells: that is known only when it is sent.
@@ -300,11 +297,11 @@
 }
 
 // encode writes the request out.
-func (o *outbound) encode() (message, error) {
-	r := &http.Request{Method: o.method, URL: o.url, Host: o.host, Header: o.header.Clone(),
-		Body: http.NoBody, ContentLength: int64(len(o.body))}
-	if len(o.body) > 0 {
-		r.Body = io.NopCloser(bytes.NewReader(o.body))
+func (o *Request) encode() (message, error) {
+	r := &http.Request{Method: o.Method, URL: o.URL, Host: o.Host, Header: o.Header.Clone(),
+		Body: http.NoBody, ContentLength: int64(len(o.Body))}
+	if len(o.Body) > 0 {
+		r.Body = io.NopCloser(bytes.NewReader(o.Body))
 	}
 	r.Header.Del("X-Deadline")
 	if _, ok := r.Header["User-Agent"]; !ok {
@@ -327,13 +324,13 @@
 	return append(append(msg, "\r\n"...), m.rest...)
 }
 
-// result is how an attempt ended.
-type result struct {
-	code   balancer.Outcome
-	sent   time.Time // when the last byte left; zero if it did not
-	report *balancer.LoadReport
-	header http.Header // with OK: the answer's
-	body   []byte
+// Result is how an attempt ended.
+type Result struct {
+	Outcome balancer.Outcome
+	SentAt  time.Time // when the last byte of the request was written; zero if it was not
+	Report  *balancer.LoadReport
+	Header  http.Header // of the response; only with OK
+	Body    []byte      // of the response; only with OK
 }
 
 // wanted tells whether a connection's server still wants requests. It may have
@@ -344,34 +341,34 @@
 	return !c.of.closed && !c.of.leaving
 }
 
-// attempt sends a request once and waits for its answer until ctx ends. When
+// Attempt sends a request once and waits for its answer until ctx ends. When
 // it returns, its connection is closed or back in the pool, so that a further
 // attempt cannot overlap it. Once open has ended nothing is sent any more:
 // calling off what has not begun is no cancel of a server's work, so it needs
 // no leave of the settings.
-func (p *pool) attempt(ctx, open context.Context, id balancer.EndpointID, o *outbound) result {
+func (p *Pool) Attempt(ctx, open context.Context, id balancer.EndpointID, o *Request) Result {
 	end, ok := ctx.Deadline()
 	if !ok {
-		return result{code: balancer.NotSent} // an attempt without an end could hang for ever
+		return Result{Outcome: balancer.NotSent} // an attempt without an end could hang for ever
 	}
 	m, err := o.encode()
 	if err != nil {
-		return result{code: balancer.NotSent}
+		return Result{Outcome: balancer.NotSent}
 	}
 	dialling, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(open, cancel)()
 	c, err := p.get(dialling, id)
 	if err != nil {
-		return result{code: unsent(dialling, err)}
+		return Result{Outcome: unsent(dialling, err)}
 	}
-	o.sent.Store(true) // before the look at open, or a refusal could cross a first byte
+	o.mayBeSent.Store(true) // before the look at open, or a refusal could cross a first byte
 	// The last gate: dialling may have taken a while, also of the time to tell,
 	// and this process may have been held up.
 	left := time.Until(end)
-	if open.Err() != nil || ctx.Err() != nil || left < leastTold || !c.wanted() || o.left != nil && o.left() {
+	if open.Err() != nil || ctx.Err() != nil || left < leastTold || !c.wanted() || o.ClientLeft != nil && o.ClientLeft() {
 		c.release()
-		return result{code: balancer.NotSent}
+		return Result{Outcome: balancer.NotSent}
 	}
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -379,17 +376,17 @@
 	if sent, err := c.Write(msg); err != nil {
 		c.discard()
 		if sent < len(msg) {
-			return result{code: unsent(ctx, err)}
+			return Result{Outcome: unsent(ctx, err)}
 		}
-		return result{code: ending(ctx, err)} // a last byte that left with an error may have come
+		return Result{Outcome: ending(ctx, err)} // a last byte that left with an error may have come
 	}
 	sent := time.Now()
 	c.budget.N = maxHead
-	res, clean, err := c.receive(o.method)
-	res.sent = sent
+	res, clean, err := c.receive(o.Method)
+	res.SentAt = sent
 	if err != nil {
 		c.discard()
-		return result{code: ending(ctx, c.broken), sent: sent, report: res.report}
+		return Result{Outcome: ending(ctx, c.broken), SentAt: sent, Report: res.Report}
 	}
 	// Once the watch on ctx cannot be stopped it may yet spoil the deadline of
 	// whoever has the connection next.
@@ -411,7 +408,7 @@
 // never run; but the server is to blame only where neither the request's own
 // end nor a want on this side kept it from being sent.
 func unsent(ctx context.Context, err error) balancer.Outcome {
-	if ctx.Err() != nil || errors.Is(err, errNotListed) || errors.Is(err, errTooMany) || errors.Is(err, errCutOff) || local(err) {
+	if ctx.Err() != nil || errors.Is(err, errNotListed) || errors.Is(err, errTooMany) || errors.Is(err, errCutOff) || sockets.LocalFailure(err) {
 		return balancer.NotSent
 	}
 	return balancer.ConnectFailed
@@ -433,7 +430,7 @@
 
 // receive reads one answer to its end; clean tells that the connection can
 // carry another request.
-func (c *conn) receive(method string) (res result, clean bool, err error) {
+func (c *conn) receive(method string) (res Result, clean bool, err error) {
 	var resp *http.Response
 	for i := 0; ; i++ {
 		resp, err = http.ReadResponse(c.read, &http.Request{Method: method})
@@ -449,7 +446,7 @@
 	}
 	c.budget.N += maxFramed + 1 // the last byte is one too many
 	// The body is never closed: that would read it to an end that may not come.
-	res.report = parseLoad(resp.Header.Get("X-Load"))
+	res.Report = parseLoad(resp.Header.Get("X-Load"))
 	if resp.ContentLength > maxBody {
 		return res, false, fmt.Errorf("an answer of %d bytes is announced", resp.ContentLength)
 	}
@@ -463,14 +460,14 @@
 	}
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		res.code, res.header, res.body = balancer.OK, resp.Header, body
+		res.Outcome, res.Header, res.Body = balancer.OK, resp.Header, body
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Not-Run") == "1":
-		res.code = balancer.Rejected
+		res.Outcome = balancer.Rejected
 	case resp.StatusCode == http.StatusBadRequest || resp.StatusCode == http.StatusNotFound:
-		res.code = balancer.BadRequest
+		res.Outcome = balancer.BadRequest
 	default:
-		res.code = balancer.ServerError
+		res.Outcome = balancer.ServerError
 	}
 	return res, !resp.Close && c.read.Buffered() == 0, nil
 }
