--- a/cmd/bankshift-lab/agree.go
+++ b/cmd/bankshift-lab/agree.go
@@ -63,7 +63,7 @@
 			return errBroke
 		}
 	}
-	if len(h.Broken)+len(r.Broken) > 0 {
+	if len(h.Violations)+len(r.Violations) > 0 {
 		return errBroke
 	}
 	return nil
@@ -80,7 +80,7 @@
 		fmt.Fprintf(t, "%s\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\n", c.name, c.hollow, c.real, c.real-c.hollow, c.tolerance, verdict)
 	}
 	for _, run := range []*result.Run{h, r} {
-		for _, b := range run.Broken {
+		for _, b := range run.Violations {
 			fmt.Fprintf(t, "BROKEN\t%s: %s\n", run.Kind, b)
 		}
 	}
--- a/cmd/bankshift-lab/main.go
+++ b/cmd/bankshift-lab/main.go
@@ -164,7 +164,7 @@
 	if err := write(o, c.JSON, r.Write, r.Table); err != nil {
 		return err
 	}
-	if len(r.Broken) > 0 {
+	if len(r.Violations) > 0 {
 		return errBroke
 	}
 	return nil
@@ -189,7 +189,7 @@
 	if err := write(o, c.JSON, r.Write, r.Table); err != nil {
 		return err
 	}
-	if len(r.Broken) > 0 {
+	if len(r.Violations) > 0 {
 		return errBroke
 	}
 	for i := range r.Figures {
--- a/cmd/bankshift-lab/main_test.go
+++ b/cmd/bankshift-lab/main_test.go
@@ -122,7 +122,7 @@
 		}
 	}
 	r := a()
-	r.Broken = []string{"a rule"}
+	r.Violations = []string{"a rule"}
 	var b bytes.Buffer
 	if err := printAgreement(&b, compare(a(), r), a(), r); err != nil || strings.Count(b.String(), "agree") != 3 || !strings.Contains(b.String(), "a rule") {
 		t.Errorf("%v\n%s", err, b.String())
--- a/internal/lab/arrivals/arrivals.go
+++ b/internal/lab/arrivals/arrivals.go
@@ -43,14 +43,14 @@
 	return func(yield func(Arrival) bool) {
 		src := func(stream uint64) rand.Source { return rand.NewPCG(s.Seed, stream) }
 		gaps := distuv.Exponential{Rate: 1, Src: src(streamTimes)}
-		nodes := distuv.NewCategorical(Weights(s), src(streamNodes))
+		nodes := distuv.NewCategorical(NodeWeights(s), src(streamNodes))
 		parts, work, workSrc := make([]float64, len(s.Classes)), make([]distuv.Rander, len(s.Classes)), src(streamWork)
 		for i, c := range s.Classes {
-			parts[i], work[i] = c.Part, workOf(c, workSrc)
+			parts[i], work[i] = c.Share, workDistribution(c, workSrc)
 		}
 		classes := distuv.NewCategorical(parts, src(streamClasses))
-		keys := subjects(s.Traffic.Keys, s.Traffic.KeySkew, src(streamKeys))
-		tenants := subjects(s.Traffic.Tenants, s.Traffic.TenantSkew, src(streamTenants))
+		keys := zipf(s.Traffic.Keys, s.Traffic.KeySkew, src(streamKeys))
+		tenants := zipf(s.Traffic.Tenants, s.Traffic.TenantSkew, src(streamTenants))
 		at := 0.0
 		for n := 0; ; n++ {
 			// A step of a process of rate 1, spread over the pieces of constant rate.
@@ -78,11 +78,11 @@
 
 // Weights is each node's part of the traffic, 1 in the median: drawn from a
 // log-normal law where the scenario wants it uneven.
-func Weights(s *scenario.Scenario) []float64 {
+func NodeWeights(s *scenario.Scenario) []float64 {
 	w := make([]float64, s.Fleet.Nodes)
-	law := distuv.LogNormal{Sigma: s.Traffic.Uneven, Src: rand.NewPCG(s.Seed, streamWeights)}
+	law := distuv.LogNormal{Sigma: s.Traffic.Imbalance, Src: rand.NewPCG(s.Seed, streamWeights)}
 	for i := range w {
-		if w[i] = 1; s.Traffic.Uneven > 0 {
+		if w[i] = 1; s.Traffic.Imbalance > 0 {
 			w[i] = law.Rand()
 		}
 	}
@@ -93,30 +93,30 @@
 func rateAt(s *scenario.Scenario, at float64) (rate, until float64) {
 	rate, until = s.Traffic.Rate, math.Inf(1)
 	for _, e := range s.Events {
-		if e.Do != "burst" {
+		if e.Action != "burst" {
 			continue
 		}
-		from, to := e.At.Seconds(), (e.At + e.For).Seconds()
+		from, to := e.At.Seconds(), (e.At + e.Duration).Seconds()
 		switch {
 		case at < from:
 			until = min(until, from)
 		case at < to:
-			rate, until = rate*e.By, min(until, to)
+			rate, until = rate*e.Factor, min(until, to)
 		}
 	}
 	return rate, until
 }
 
 // workOf is the law of a class's work, in seconds.
-func workOf(c scenario.Class, src rand.Source) distuv.Rander {
+func workDistribution(c scenario.Class, src rand.Source) distuv.Rander {
 	mean := c.Work.Seconds()
-	switch c.WorkVar {
+	switch c.WorkVariation {
 	case 0:
 		return constant(mean)
 	case 1:
 		return distuv.Exponential{Rate: 1 / mean, Src: src}
 	}
-	shape := 1 / (c.WorkVar * c.WorkVar)
+	shape := 1 / (c.WorkVariation * c.WorkVariation)
 	return distuv.Gamma{Alpha: shape, Beta: shape / mean, Src: src}
 }
 
@@ -126,7 +126,7 @@
 
 // subjects draws one of n by Zipf's law, or all alike with a skew of 0; of
 // none it draws -1.
-func subjects(n int, skew float64, src rand.Source) func() int {
+func zipf(n int, skew float64, src rand.Source) func() int {
 	r := rand.New(src)
 	switch {
 	case n <= 0:
--- a/internal/lab/arrivals/arrivals_test.go
+++ b/internal/lab/arrivals/arrivals_test.go
@@ -109,18 +109,18 @@
 		zipf[i] = math.Pow(float64(i+1), -1.3)
 	}
 	fits(t, "seconds", seconds, rates)
-	fits(t, "nodes", nodes, scaled(Weights(s), total))
+	fits(t, "nodes", nodes, scaled(NodeWeights(s), total))
 	fits(t, "classes", classes, scaled([]float64{3, 1, 1}, total))
 	fits(t, "keys", keys, scaled(zipf, total))
 	fits(t, "tenants", tenants, scaled([]float64{1, 1, 1, 1}, total))
 	for i, c := range s.Classes {
 		mean, sd := stat.MeanStdDev(work[i], nil)
 		want := c.Work.Seconds()
-		if bound := 4*c.WorkVar*want/math.Sqrt(float64(len(work[i]))) + 1e-9; math.Abs(mean-want) > bound {
+		if bound := 4*c.WorkVariation*want/math.Sqrt(float64(len(work[i]))) + 1e-9; math.Abs(mean-want) > bound {
 			t.Errorf("%s: mean work %g, want %g", c.Name, mean, want)
 		}
-		if math.Abs(sd/want-c.WorkVar) > 0.05 {
-			t.Errorf("%s: variation %.3f, want %.3f", c.Name, sd/want, c.WorkVar)
+		if math.Abs(sd/want-c.WorkVariation) > 0.05 {
+			t.Errorf("%s: variation %.3f, want %.3f", c.Name, sd/want, c.WorkVariation)
 		}
 	}
 	if mean, sd := stat.MeanStdDev(gaps, nil); math.Abs(sd/mean-1) > 0.05 {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -30,15 +30,15 @@
 // What one machine is asked to bear: a few dozen nodes of some 25 MB, and a
 // generator and servers that are well under its processors' work.
 const (
-	MostNodes   = 64
-	MostServers = 600
-	MostRate    = 5000 // requests a second
+	MaxNodes   = 64
+	MaxServers = 600
+	MaxRate    = 5000 // requests a second
 
-	settle      = time.Second            // from the last node's being ready to the traffic
-	answerSlack = 70 * time.Millisecond  // past the deadline: 20 ms of the settings, 50 ms on sockets
-	watchStep   = 100 * time.Millisecond // between looks for servers that started by themselves
-	mostBroken  = 20                     // broken rules that are told one by one
-	latePart    = 0.02                   // of the tightest aim, that the generator may be late: its clients would not notice
+	settle               = time.Second            // from the last node's being ready to the traffic
+	answerSlack          = 70 * time.Millisecond  // past the deadline: 20 ms of the settings, 50 ms on sockets
+	restartCheckInterval = 100 * time.Millisecond // between looks for servers that started by themselves
+	maxViolations        = 20                     // broken rules that are told one by one
+	maxSendDelayFraction = 0.02                   // of the tightest aim, that the generator may be late: its clients would not notice
 )
 
 // Options say how to run.
@@ -51,54 +51,54 @@
 
 // run is a scenario under way.
 type run struct {
-	s         *scenario.Scenario
-	ctx       context.Context
-	path, dir string
-	epoch     time.Time
-	t0        time.Time // of the traffic
-	meanCost  time.Duration
-	registry  *emulator.Registry
-	steps     sync.WaitGroup
+	scenario     *scenario.Scenario
+	ctx          context.Context
+	path, dir    string
+	epoch        time.Time
+	trafficStart time.Time // of the traffic
+	meanCost     time.Duration
+	registry     *emulator.Registry
+	steps        sync.WaitGroup
 
-	mu        sync.Mutex
-	timers    []*time.Timer
-	ended     bool
-	nodes     []*slot
-	servers   []*server // all there ever were
-	places    []*server // who is there now
-	keys      map[string]*model.KeyStore
-	ledgers   map[string]*emulator.ExecutionLog // by zone
-	versions  int
-	successor int
-	events    []string
-	broken    []string
+	mu            sync.Mutex
+	timers        []*time.Timer
+	ended         bool
+	nodes         []*nodeSlot
+	servers       []*server // all there ever were
+	current       []*server // who is there now
+	keyStores     map[string]*model.KeyStore
+	executionLogs map[string]*emulator.ExecutionLog // by zone
+	versions      int
+	successors    int
+	events        []string
+	violations    []string
 }
 
 // slot is a node's place: its processes, one after the other.
-type slot struct {
+type nodeSlot struct {
 	index     int
 	zone      string
 	address   string
 	processes []*Process
-	up        bool // ready, and not about to end
-	leaving   bool
+	available bool // ready, and not about to end
+	draining  bool
 	diedAt    time.Time
 }
 
-func (n *slot) process() *Process { return n.processes[len(n.processes)-1] }
+func (n *nodeSlot) process() *Process { return n.processes[len(n.processes)-1] }
 
 // Check says whether a scenario can be played with real processes.
 func Check(s *scenario.Scenario) error {
 	switch {
-	case s.Fleet.Nodes > MostNodes:
-		return fmt.Errorf("fleet: %w: %d nodes, at most %d", ErrTooLarge, s.Fleet.Nodes, MostNodes)
-	case s.Servers.Count > MostServers:
-		return fmt.Errorf("fleet: %w: %d servers, at most %d", ErrTooLarge, s.Servers.Count, MostServers)
-	case s.Traffic.Rate > MostRate:
-		return fmt.Errorf("fleet: %w: %v requests a second, at most %d", ErrTooLarge, s.Traffic.Rate, MostRate)
+	case s.Fleet.Nodes > MaxNodes:
+		return fmt.Errorf("fleet: %w: %d nodes, at most %d", ErrTooLarge, s.Fleet.Nodes, MaxNodes)
+	case s.Servers.Count > MaxServers:
+		return fmt.Errorf("fleet: %w: %d servers, at most %d", ErrTooLarge, s.Servers.Count, MaxServers)
+	case s.Traffic.Rate > MaxRate:
+		return fmt.Errorf("fleet: %w: %v requests a second, at most %d", ErrTooLarge, s.Traffic.Rate, MaxRate)
 	}
 	for _, e := range s.Events {
-		if e.Do == "cut" {
+		if e.Action == "cut" {
 			return errors.New("fleet: the event cut is played with hollow nodes only")
 		}
 	}
@@ -119,8 +119,8 @@
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
-	m := &run{s: s, ctx: ctx, path: o.Node, dir: dir, epoch: time.Now(), keys: map[string]*model.KeyStore{},
-		ledgers: map[string]*emulator.ExecutionLog{}}
+	m := &run{scenario: s, ctx: ctx, path: o.Node, dir: dir, epoch: time.Now(), keyStores: map[string]*model.KeyStore{},
+		executionLogs: map[string]*emulator.ExecutionLog{}}
 	if m.path == "" {
 		if m.path, err = Build(ctx, dir); err != nil {
 			cancel()
@@ -145,46 +145,46 @@
 	m.events = append(m.events, fmt.Sprintf("nodes ready %v to %v after their starts, with GOMAXPROCS=%d and no other limit of the processor",
 		soonest.Round(time.Millisecond/10), last.Round(time.Millisecond/10), m.threads()))
 	x := newMeasure(m)
-	stream := m.stream(x)
-	m.t0 = time.Now()
+	stream := m.drawRequests(x)
+	m.trafficStart = time.Now()
 	for i := range s.Events {
-		m.plan(i)
+		m.scheduleEvent(i)
 	}
 	sampled := make(chan struct{})
 	go func() {
 		defer close(sampled)
 		x.sample(ctx)
 	}()
-	aim := s.Classes[0].Aim
+	aim := s.Classes[0].LatencyObjective
 	for _, c := range s.Classes {
-		aim = min(aim, c.Aim)
+		aim = min(aim, c.LatencyObjective)
 	}
 	report, err := load.Play(ctx, load.Config{Route: m.route, Connections: s.Traffic.Connections, Retries: s.Traffic.Retries,
-		Backoff: s.Traffic.Backoff.Std(), MarkRetries: true, Slack: answerSlack, LateBound: time.Duration(latePart * float64(aim)),
-		ServerTime: emulator.ServiceTimeHeader, Done: x.done}, stream)
+		Backoff: s.Traffic.Backoff.Std(), MarkRetries: true, Slack: answerSlack, MaxSendDelay: time.Duration(maxSendDelayFraction * float64(aim)),
+		ServiceTimeHeader: emulator.ServiceTimeHeader, Done: x.recordResult}, stream)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	<-sampled
 	m.endSteps()
 	m.stopNodes()
-	r := x.result(report, stream)
+	r := x.finish(report, stream)
 	r.Cost.Seconds = time.Since(began).Seconds()
 	return r, nil
 }
 
 // setUp starts servers, discovery and nodes, and waits until the nodes are ready.
 func (m *run) setUp() error {
-	s := m.s
+	s := m.scenario
 	cost, parts := 0.0, 0.0
 	for _, c := range s.Classes {
-		cost, parts = cost+c.Part*c.Work.Seconds(), parts+c.Part
+		cost, parts = cost+c.Share*c.Work.Seconds(), parts+c.Share
 	}
 	m.meanCost = time.Duration(cost / parts * float64(time.Second))
 	var err error
 	if m.registry, err = emulator.NewRegistry(emulator.RegistryConfig{Epoch: m.epoch, Rand: m.rand(3 << 32),
-		RegistryConfig: model.RegistryConfig{Nodes: s.Fleet.Nodes, OnDemand: s.Disco.Asked, Delay: s.Disco.Delay.Std(),
-			DelaySpread: s.Disco.Spread.Std(), ResponseTime: s.Disco.Answer.Std()}}); err != nil {
+		RegistryConfig: model.RegistryConfig{Nodes: s.Fleet.Nodes, OnDemand: s.Discovery.OnDemand, Delay: s.Discovery.Delay.Std(),
+			DelaySpread: s.Discovery.DelaySpread.Std(), ResponseTime: s.Discovery.ResponseTime.Std()}}); err != nil {
 		return err
 	}
 	var entries []model.Entry
@@ -193,14 +193,14 @@
 		if err != nil {
 			return err
 		}
-		m.places = append(m.places, sv)
+		m.current = append(m.current, sv)
 		sv.entry.Status = model.Ready
 		entries = append(entries, sv.entry)
 	}
 	if err := m.registry.Change(entries...); err != nil {
 		return err
 	}
-	if err := m.sleep(s.Disco.Delay.Std() + s.Disco.Spread.Std()); err != nil { // the agents have been told
+	if err := m.sleep(s.Discovery.Delay.Std() + s.Discovery.DelaySpread.Std()); err != nil { // the agents have been told
 		return err
 	}
 	addresses, err := FreeAddresses(s.Fleet.Nodes)
@@ -208,7 +208,7 @@
 		return err
 	}
 	for i, a := range addresses {
-		m.nodes = append(m.nodes, &slot{index: i, zone: s.Node(i).Zone, address: a})
+		m.nodes = append(m.nodes, &nodeSlot{index: i, zone: s.Node(i).Zone, address: a})
 	}
 	errs := make(chan error, len(m.nodes))
 	for _, n := range m.nodes {
@@ -239,20 +239,20 @@
 }
 
 // startNode starts a node's next process and waits until it is ready.
-func (m *run) startNode(n *slot) error {
-	known, err := m.known()
+func (m *run) startNode(n *nodeSlot) error {
+	known, err := m.knownList()
 	if err != nil {
 		return err
 	}
 	m.mu.Lock()
 	start := len(n.processes)
 	m.mu.Unlock()
-	config, err := m.s.Config(n.index, scenario.Told{Start: start, Listen: n.address, Discovery: m.registry.Addr(n.index), Known: known})
+	config, err := m.scenario.NodeConfig(n.index, scenario.NodeStart{Incarnation: start, Listen: n.address, Discovery: m.registry.Addr(n.index), KnownList: known})
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	began := time.Now()
-	p, err := Start(m.ctx, m.path, m.dir, m.s.Node(n.index).Name, n.address, config, m.threads())
+	p, err := Start(m.ctx, m.path, m.dir, m.scenario.Node(n.index).Name, n.address, config, m.threads())
 	if err != nil {
 		return err
 	}
@@ -264,16 +264,16 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n.up, n.leaving = true, false
+	n.available, n.draining = true, false
 	return nil
 }
 
 // threads is what a node's runtime gets: the whole cores that hold its part of
 // one, as on the platform, where it sees a machine of its own.
-func (m *run) threads() int { return max(1, int(math.Ceil(m.s.Fleet.Cores))) }
+func (m *run) threads() int { return max(1, int(math.Ceil(m.scenario.Fleet.Cores))) }
 
 // known is the list now, as a configuration has it.
-func (m *run) known() (json.RawMessage, error) {
+func (m *run) knownList() (json.RawMessage, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	list := struct {
@@ -281,7 +281,7 @@
 		Snapshot bool          `json:"snapshot"`
 		Entries  []model.Entry `json:"endpoints"`
 	}{Index: m.registry.Version(), Snapshot: true, Entries: []model.Entry{}}
-	for _, sv := range m.places {
+	for _, sv := range m.current {
 		if sv.entry.Status != model.Removed {
 			list.Entries = append(list.Entries, sv.entry)
 		}
@@ -296,13 +296,13 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.nodes[r.Node]
-	if n.up || !n.leaving && try == 0 && time.Since(n.diedAt) < m.s.Traffic.FrontNotice.Std() {
+	if n.available || !n.draining && try == 0 && time.Since(n.diedAt) < m.scenario.Traffic.FailoverDelay.Std() {
 		return n.index, n.address
 	}
-	var near, far []*slot
+	var near, far []*nodeSlot
 	for _, o := range m.nodes {
 		switch {
-		case !o.up:
+		case !o.available:
 		case o.zone == n.zone:
 			near = append(near, o)
 		default:
@@ -320,23 +320,23 @@
 }
 
 // away ends a node with end and starts it again after the scenario's time.
-func (m *run) away(n *slot, planned bool, end func(p *Process) error) {
+func (m *run) restartNode(n *nodeSlot, planned bool, end func(p *Process) error) {
 	m.mu.Lock()
-	if !n.up || m.ended { // it is away already
+	if !n.available || m.ended { // it is away already
 		m.mu.Unlock()
 		return
 	}
-	n.up, n.leaving, n.diedAt = false, planned, time.Now()
+	n.available, n.draining, n.diedAt = false, planned, time.Now()
 	p := n.process()
 	m.mu.Unlock()
 	if err := end(p); err != nil {
-		m.broke("%v", err)
+		m.violation("%v", err)
 	}
-	if m.sleep(m.s.Fleet.Restart.Std()) != nil {
+	if m.sleep(m.scenario.Fleet.RestartTime.Std()) != nil {
 		return
 	}
 	if err := m.startNode(n); err != nil && m.ctx.Err() == nil {
-		m.broke("%v", err)
+		m.violation("%v", err)
 	}
 }
 
@@ -346,15 +346,15 @@
 	var all sync.WaitGroup
 	for _, n := range m.nodes {
 		p := n.process()
-		if !p.Alive() && n.up {
-			m.broke("%s ended by itself: %v\n%s", p.Name, p.err, p.Log())
+		if !p.Alive() && n.available {
+			m.violation("%s ended by itself: %v\n%s", p.Name, p.err, p.Log())
 			continue
 		}
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if err := p.Stop(m.ctx); err != nil && n.up {
-				m.broke("%v", err)
+			if err := p.Stop(m.ctx); err != nil && n.available {
+				m.violation("%v", err)
 			}
 		}()
 	}
@@ -372,7 +372,7 @@
 
 func (m *run) closeServers() {
 	for _, sv := range m.servers {
-		sv.at.Close() // a port lost at the end harms nobody
+		sv.process.Close() // a port lost at the end harms nobody
 	}
 	if m.registry != nil {
 		m.registry.Close()
@@ -380,26 +380,26 @@
 }
 
 // broke notes a rule that was broken.
-func (m *run) broke(format string, args ...any) {
+func (m *run) violation(format string, args ...any) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch line := fmt.Sprintf(format, args...); {
-	case len(m.broken) < mostBroken:
-		m.broken = append(m.broken, line)
-	case len(m.broken) == mostBroken:
-		m.broken = append(m.broken, "and more")
+	case len(m.violations) < maxViolations:
+		m.violations = append(m.violations, line)
+	case len(m.violations) == maxViolations:
+		m.violations = append(m.violations, "and more")
 	}
 }
 
 // at has do run at a time of the traffic.
-func (m *run) at(t time.Duration, do func()) {
+func (m *run) schedule(t time.Duration, do func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.ended {
 		return
 	}
 	m.steps.Add(1)
-	m.timers = append(m.timers, time.AfterFunc(time.Until(m.t0.Add(t)), func() {
+	m.timers = append(m.timers, time.AfterFunc(time.Until(m.trafficStart.Add(t)), func() {
 		defer m.steps.Done()
 		do()
 	}))
@@ -421,18 +421,18 @@
 }
 
 // ledger is that of a zone's servers.
-func (m *run) ledger(zone string) *emulator.ExecutionLog {
-	if m.ledgers[zone] == nil {
-		m.ledgers[zone] = &emulator.ExecutionLog{}
+func (m *run) executionLog(zone string) *emulator.ExecutionLog {
+	if m.executionLogs[zone] == nil {
+		m.executionLogs[zone] = &emulator.ExecutionLog{}
 	}
-	return m.ledgers[zone]
+	return m.executionLogs[zone]
 }
 
 // zones in the scenario's order.
 func (m *run) zones() []string {
 	var out []string
-	for _, z := range m.s.Zones {
-		if m.ledgers[z.Name] != nil {
+	for _, z := range m.scenario.Zones {
+		if m.executionLogs[z.Name] != nil {
 			out = append(out, z.Name)
 		}
 	}
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -108,16 +108,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		if !strings.Contains(b, "generator was late") { // the machine may be busy: that is no fault of a node's
 			t.Errorf("broken: %s", b)
 		}
 	}
 	q, c := r.Requests, r.Control
-	if r.Kind != "real" || q.Offered < 150 || q.Served < q.Offered*9/10 || q.Attempts < q.Served || q.CrossZone == 0 || q.InsideServed == 0 {
+	if r.Kind != "real" || q.Offered < 150 || q.Served < q.Offered*9/10 || q.Attempts < q.Served || q.CrossZone == 0 || q.WithinQuotaServed == 0 {
 		t.Errorf("%+v", q)
 	}
-	if c.Calls == 0 || c.Bytes == 0 || c.NodeRate <= 0 || c.WorstRate < c.NodeRate || c.Changes < 5 || c.Lists == 0 {
+	if c.Calls == 0 || c.Bytes == 0 || c.NodeRate <= 0 || c.WorstRate < c.NodeRate || c.Changes < 5 || c.Snapshots == 0 {
 		t.Errorf("%+v", c)
 	}
 	if r.Cost.NodeCPU <= 0 || r.Cost.NodeMemory < 1<<20 || r.Added.Count == 0 || r.Latency["all"].Count != int64(q.Served) ||
@@ -168,13 +168,13 @@
 	if err := p.AwaitReady(t.Context(), time.Now()); err == nil || !strings.Contains(err.Error(), "listen") {
 		t.Errorf("a node that cannot start: %v", err)
 	}
-	if u, err := p.Use(); err != nil || u.CPU <= 0 || u.Memory <= 0 {
+	if u, err := p.Usage(); err != nil || u.CPU <= 0 || u.Memory <= 0 {
 		t.Errorf("after its end: %+v, %v", u, err)
 	}
 }
 
 func TestUse(t *testing.T) {
-	u, err := useOf(os.Getpid())
+	u, err := usageOf(os.Getpid())
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
 		t.Fatal(err)
@@ -193,9 +193,9 @@
 
 func TestRefusesWhatItCannotPlay(t *testing.T) {
 	for _, change := range []func(*scenario.Scenario){
-		func(s *scenario.Scenario) { s.Fleet.Nodes = MostNodes + 1 },
-		func(s *scenario.Scenario) { s.Servers.Count = MostServers + 1 },
-		func(s *scenario.Scenario) { s.Traffic.Rate = MostRate + 1 },
+		func(s *scenario.Scenario) { s.Fleet.Nodes = MaxNodes + 1 },
+		func(s *scenario.Scenario) { s.Servers.Count = MaxServers + 1 },
+		func(s *scenario.Scenario) { s.Traffic.Rate = MaxRate + 1 },
 	} {
 		s := parse(t, small)
 		change(s)
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -17,7 +17,7 @@
 
 // controlBytes is what a node may use for control, in bytes a second, by the
 // operators' plan.
-const controlBytes = 3000
+const controlBytesPerSecond = 3000
 
 // snapshot is what has been counted by a time.
 type snapshot struct {
@@ -29,50 +29,50 @@
 }
 
 // measure is what a run keeps for its result.
-type measure struct {
-	m         *run
-	r         *result.Run
+type measurement struct {
+	run       *run
+	result    *result.Run
 	from, to  snapshot // of the measured time
 	perSecond []int64  // list bytes of all nodes
 	memory    int64
 
-	mu      sync.Mutex
-	latency map[string]result.Histogram
-	added   result.Histogram
-	tries   []int // by request
-	classes []int
-	inside  []bool
+	mu          sync.Mutex
+	latency     map[string]result.Histogram
+	added       result.Histogram
+	tries       []int // by request
+	classes     []int
+	withinQuota []bool
 }
 
-func newMeasure(m *run) *measure {
-	x := &measure{m: m, r: result.New(m.s, result.Real), latency: map[string]result.Histogram{"all": result.NewHistogram()},
+func newMeasure(m *run) *measurement {
+	x := &measurement{run: m, result: result.New(m.scenario, result.Real), latency: map[string]result.Histogram{"all": result.NewHistogram()},
 		added: result.NewHistogram()}
-	for _, c := range m.s.Classes {
+	for _, c := range m.scenario.Classes {
 		x.latency[c.Name] = result.NewHistogram()
 	}
-	x.r.Windows = make([]result.Window, int((m.s.Length.Std()+time.Second-1)/time.Second))
+	x.result.Windows = make([]result.Window, int((m.scenario.Length.Std()+time.Second-1)/time.Second))
 	return x
 }
 
 // stream draws the requests.
-func (m *run) stream(x *measure) []load.Request {
+func (m *run) drawRequests(x *measurement) []load.Request {
 	var out []load.Request
-	effects := map[string]load.Effect{"safe": load.Safe, "keyed": load.Keyed, "unsafe": load.Unsafe}
+	effects := map[string]load.Idempotency{"safe": load.Idempotent, "keyed": load.IdempotentByKey, "unsafe": load.NotIdempotent}
 	type bucket struct {
 		tokens float64
 		at     time.Duration
 	}
-	quota := m.s.Traffic.Quota
+	quota := m.scenario.Traffic.Quota
 	shares := map[int]bucket{}
-	for a := range arrivals.All(m.s) {
-		c := m.s.Classes[a.Class]
-		r := load.Request{At: a.At, Node: a.Node, ID: fmt.Sprintf("%016x", a.Number), Class: c.Name, Effect: effects[c.Effect],
-			Subject: strconv.Itoa(a.Key), Deadline: c.Deadline.Std(), Repeat: c.Effect == "safe" || c.Effect == "keyed" && c.Scope == "all",
+	for a := range arrivals.All(m.scenario) {
+		c := m.scenario.Classes[a.Class]
+		r := load.Request{At: a.At, Node: a.Node, ID: fmt.Sprintf("%016x", a.Number), Class: c.Name, Idempotency: effects[c.Idempotency],
+			Subject: strconv.Itoa(a.Key), Deadline: c.Deadline.Std(), RetryOnFailure: c.Idempotency == "safe" || c.Idempotency == "keyed" && c.KeyScope == "all",
 			Header: [][2]string{{emulator.WorkHeader, strconv.FormatInt(max(1, a.Work.Microseconds()), 10)}}}
-		if c.Effect == "keyed" {
+		if c.Idempotency == "keyed" {
 			r.Key = fmt.Sprintf("%032x", a.Number)
-			r.Header = append(r.Header, [2]string{emulator.ScopeHeader, c.Scope},
-				[2]string{emulator.WindowHeader, strconv.FormatInt(c.Window.Std().Milliseconds(), 10)})
+			r.Header = append(r.Header, [2]string{emulator.ScopeHeader, c.KeyScope},
+				[2]string{emulator.WindowHeader, strconv.FormatInt(c.KeyWindow.Std().Milliseconds(), 10)})
 		}
 		inside := false
 		if a.Tenant >= 0 {
@@ -89,7 +89,7 @@
 			shares[a.Tenant] = b
 		}
 		out = append(out, r)
-		x.inside = append(x.inside, inside)
+		x.withinQuota = append(x.withinQuota, inside)
 		x.classes = append(x.classes, a.Class)
 	}
 	x.tries = make([]int, len(out))
@@ -97,26 +97,26 @@
 }
 
 // snap reads all counts.
-func (x *measure) snap() snapshot {
-	m := x.m
+func (x *measurement) takeSnapshot() snapshot {
+	m := x.run
 	var s snapshot
-	for i := range m.s.Fleet.Nodes {
+	for i := range m.scenario.Fleet.Nodes {
 		s.lists = append(s.lists, m.registry.NodeStats(i))
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, n := range m.nodes {
 		for _, p := range n.processes {
-			u, err := p.Use()
+			u, err := p.Usage()
 			if err != nil { // it has just ended
-				u, _ = p.Use()
+				u, _ = p.Usage()
 			}
 			s.cpu += u.CPU
 			x.memory = max(x.memory, u.Memory)
 		}
 	}
 	for _, sv := range m.servers {
-		st := sv.at.Stats()
+		st := sv.process.Stats()
 		s.work, s.wasted, s.falls = s.work+st.Work, s.wasted+st.Wasted, s.falls+st.Crashes
 	}
 	s.versions = m.versions
@@ -131,66 +131,66 @@
 }
 
 // sample takes the counts at the warm-up's end, at each second, and at the end.
-func (x *measure) sample(ctx context.Context) {
-	warm, length := x.m.s.Warm.Std(), x.m.s.Length.Std()
-	wait := func(t time.Duration) bool { return x.m.sleep(time.Until(x.m.t0.Add(t))) == nil }
-	x.m.at(0, func() { x.m.watch(length) })
+func (x *measurement) sample(ctx context.Context) {
+	warm, length := x.run.scenario.Warmup.Std(), x.run.scenario.Length.Std()
+	wait := func(t time.Duration) bool { return x.run.sleep(time.Until(x.run.trafficStart.Add(t))) == nil }
+	x.run.schedule(0, func() { x.run.publishRestarts(length) })
 	if !wait(warm) {
 		return
 	}
-	x.from = x.snap()
+	x.from = x.takeSnapshot()
 	last := x.from.bytes()
 	for t := warm + time.Second; t < length; t += time.Second {
 		if !wait(t) {
 			return
 		}
 		now := snapshot{}
-		for i := range x.m.s.Fleet.Nodes {
-			now.lists = append(now.lists, x.m.registry.NodeStats(i))
+		for i := range x.run.scenario.Fleet.Nodes {
+			now.lists = append(now.lists, x.run.registry.NodeStats(i))
 		}
 		b := now.bytes()
 		x.perSecond = append(x.perSecond, b-last)
 		last = b
 	}
 	if wait(length) {
-		x.to = x.snap()
+		x.to = x.takeSnapshot()
 		x.perSecond = append(x.perSecond, x.to.bytes()-last)
 	}
 }
 
 // done counts how a request ended.
-func (x *measure) done(i int, r *load.Request, o load.Outcome) {
+func (x *measurement) recordResult(i int, r *load.Request, o load.Result) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	c := x.m.s.Classes[x.classes[i]]
+	c := x.run.scenario.Classes[x.classes[i]]
 	x.tries[i] = o.Tries
-	w, q := &x.r.Windows[min(int(r.At/time.Second), len(x.r.Windows)-1)], &x.r.Requests
-	counts := r.At >= x.m.s.Warm.Std()
+	w, q := &x.result.Windows[min(int(r.At/time.Second), len(x.result.Windows)-1)], &x.result.Requests
+	counts := r.At >= x.run.scenario.Warmup.Std()
 	if !counts {
 		q = new(result.Requests)
 	}
 	w.Offered++
-	w.Worth += c.Worth
+	w.Weight += c.PriorityWeight
 	q.Offered++
-	q.Worth += c.Worth
+	q.Weight += c.PriorityWeight
 	q.Tries += o.Tries
-	if x.inside[i] {
-		q.InsideShares++
+	if x.withinQuota[i] {
+		q.WithinQuota++
 	}
-	switch o.Ending {
+	switch o.Outcome {
 	case load.Served:
-		worth := c.Worth
-		if o.Latency <= c.Aim.Std() {
-			q.InAim++
+		worth := c.PriorityWeight
+		if o.Latency <= c.LatencyObjective.Std() {
+			q.WithinObjective++
 		} else {
-			worth *= c.Late
+			worth *= c.LateWeight
 		}
 		w.Served++
 		q.Served++
-		w.ServedWorth += worth
-		q.ServedWorth += worth
-		if x.inside[i] {
-			q.InsideServed++
+		w.ServedWeight += worth
+		q.ServedWeight += worth
+		if x.withinQuota[i] {
+			q.WithinQuotaServed++
 		}
 		if counts {
 			x.latency["all"].Add(o.Latency)
@@ -199,9 +199,9 @@
 				x.added.Add(o.Added)
 			}
 		}
-	case load.Refused:
-		w.Refused++
-		q.Refused++
+	case load.Rejected:
+		w.Rejected++
+		q.Rejected++
 	case load.Lost:
 		w.Failed++
 		q.Lost++
@@ -213,8 +213,8 @@
 
 // attempts reads from the servers' ledgers what reached them, and holds it to
 // the rules: a request that must not run twice has not, whatever its tries.
-func (x *measure) attempts(stream []load.Request) (overlaps int) {
-	m, q := x.m, &x.r.Requests
+func (x *measurement) recordAttempts(stream []load.Request) (overlaps int) {
+	m, q := x.run, &x.result.Requests
 	zones := m.zones()
 	for i := range stream {
 		r := &stream[i]
@@ -223,40 +223,40 @@
 		for try := range x.tries[i] {
 			id, copies := load.TryID(r.ID, try), 0
 			for _, z := range zones {
-				seen, ok := m.ledgers[z].Request(id)
+				seen, ok := m.executionLogs[z].Request(id)
 				if !ok {
 					continue
 				}
 				runs, copies, overlaps = runs+seen.Executions, copies+seen.Copies, overlaps+seen.Overlaps
-				if r.At < m.s.Warm.Std() || z == home {
+				if r.At < m.scenario.Warmup.Std() || z == home {
 					continue
 				}
-				if m.s.Region(z) == m.s.Region(home) {
+				if m.scenario.Region(z) == m.scenario.Region(home) {
 					q.CrossZone += seen.Copies
 				} else {
 					q.CrossRegion += seen.Copies
 				}
 			}
-			x.r.Windows[min(int(r.At/time.Second), len(x.r.Windows)-1)].Attempts += copies
-			if r.At >= m.s.Warm.Std() {
+			x.result.Windows[min(int(r.At/time.Second), len(x.result.Windows)-1)].Attempts += copies
+			if r.At >= m.scenario.Warmup.Std() {
 				q.Attempts += copies
-				q.Further += max(0, copies-1)
+				q.Retries += max(0, copies-1)
 			}
-			if most := m.s.Fleet.MaxAttempts; copies > most {
-				m.broke("%s: %d attempts, %d are allowed", id, copies, most)
+			if most := m.scenario.Fleet.MaxAttempts; copies > most {
+				m.violation("%s: %d attempts, %d are allowed", id, copies, most)
 			}
 		}
-		if r.Effect == load.Unsafe && runs > 1 {
-			m.broke("%s is unsafe and ran %d times", r.ID, runs)
+		if r.Idempotency == load.NotIdempotent && runs > 1 {
+			m.violation("%s is unsafe and ran %d times", r.ID, runs)
 		}
 	}
 	return overlaps
 }
 
 // result sums up.
-func (x *measure) result(report *load.Report, stream []load.Request) *result.Run {
-	m, r := x.m, x.r
-	overlaps := x.attempts(stream)
+func (x *measurement) finish(report *load.Report, stream []load.Request) *result.Run {
+	m, r := x.run, x.result
+	overlaps := x.recordAttempts(stream)
 	for name, h := range x.latency {
 		r.Latency[name] = h.Latency()
 	}
@@ -267,29 +267,29 @@
 		b := to.BytesIn + to.BytesOut - from.BytesIn - from.BytesOut
 		c.Bytes += b
 		c.Calls += to.Calls - from.Calls
-		c.Lists += to.Snapshots - from.Snapshots
+		c.Snapshots += to.Snapshots - from.Snapshots
 		c.WorstRate = max(c.WorstRate, float64(b)/r.Seconds)
 	}
 	c.NodeRate = float64(c.Bytes) / r.Seconds / float64(r.Nodes)
 	c.Changes = x.to.versions - x.from.versions
-	var lists result.Sum
+	var lists result.Peak
 	for i, b := range x.perSecond {
 		c.WorstSecond = max(c.WorstSecond, b)
-		lists.Take(float64(b), controlBytes*float64(r.Nodes), m.s.Warm.Std()+time.Duration(i)*time.Second)
+		lists.Take(float64(b), controlBytesPerSecond*float64(r.Nodes), m.scenario.Warmup.Std()+time.Duration(i)*time.Second)
 	}
-	r.Sums["list_bytes"] = lists
-	r.Sums["overlapping_copies"] = result.Sum{Worst: float64(overlaps)} // over the run; a server may see a close late
-	r.Falls = x.to.falls - x.from.falls
+	r.Peaks["list_bytes"] = lists
+	r.Peaks["overlapping_copies"] = result.Peak{Worst: float64(overlaps)} // over the run; a server may see a close late
+	r.Crashes = x.to.falls - x.from.falls
 	if work := x.to.work - x.from.work; work > 0 {
 		r.Requests.Wasted = float64(x.to.wasted-x.from.wasted) / float64(work)
 	}
 	r.Cost.NodeCPU = (x.to.cpu - x.from.cpu).Seconds() / r.Seconds / float64(r.Nodes)
 	r.Cost.NodeMemory = x.memory
-	if lost := r.Requests.Lost; lost > 0 && !slices.ContainsFunc(m.s.Events, func(e scenario.Event) bool { return e.Do == "kill-nodes" }) {
-		m.broke("%d requests got no answer by their deadline, though no node was killed", lost)
+	if lost := r.Requests.Lost; lost > 0 && !slices.ContainsFunc(m.scenario.Events, func(e scenario.Event) bool { return e.Action == "kill-nodes" }) {
+		m.violation("%d requests got no answer by their deadline, though no node was killed", lost)
 	}
-	r.Broken = slices.Concat(r.Broken, m.broken, report.Broken)
-	r.Recover(m.s)
-	r.Check(m.s.Holds)
+	r.Violations = slices.Concat(r.Violations, m.violations, report.Violations)
+	r.FindRecovery(m.scenario)
+	r.CheckBounds(m.scenario.Bounds)
 	return r
 }
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -22,12 +22,12 @@
 const (
 	// ReadyTime bounds the wait for a node to be ready. Clients come after 30 s
 	// whether or not it is.
-	ReadyTime = 30 * time.Second
+	ReadyTimeout = 30 * time.Second
 	// endTime bounds the wait after SIGTERM: the longest that the platform
 	// leaves a node before SIGKILL, and half a second for a busy machine.
-	endTime   = 4200 * time.Millisecond
-	readyStep = time.Millisecond // between looks at whether a node is ready
-	keptLog   = 16 << 10         // bytes of a node's log, its last, that are kept
+	stopTimeout   = 4200 * time.Millisecond
+	readyInterval = time.Millisecond // between looks at whether a node is ready
+	maxLogBytes   = 16 << 10         // bytes of a node's log, its last, that are kept
 )
 
 // Process is one real node.
@@ -37,7 +37,7 @@
 	Ready   time.Duration // from its start to its first 200 at /health/ready
 
 	cmd   *exec.Cmd
-	log   tail
+	log   logTail
 	ended chan struct{} // closed once it has been waited for
 	err   error         // of Wait, once ended
 	usage *os.ProcessState
@@ -75,7 +75,7 @@
 
 // AwaitReady waits until the node has answered 200 at /health/ready.
 func (p *Process) AwaitReady(ctx context.Context, began time.Time) error {
-	ctx, cancel := context.WithTimeout(ctx, ReadyTime)
+	ctx, cancel := context.WithTimeout(ctx, ReadyTimeout)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	for {
@@ -96,7 +96,7 @@
 			return fmt.Errorf("fleet: %s ended before it was ready: %w\n%s", p.Name, errors.Join(p.err), p.log.String())
 		case <-ctx.Done():
 			return fmt.Errorf("fleet: %s is not ready: %w\n%s", p.Name, ctx.Err(), p.log.String())
-		case <-time.After(readyStep):
+		case <-time.After(readyInterval):
 		}
 	}
 }
@@ -130,7 +130,7 @@
 // SIGKILL where that does not do; the error says so, or how else it failed.
 func (p *Process) Stop(ctx context.Context) error {
 	p.cmd.Process.Signal(syscall.SIGTERM) // fails only on one that has ended
-	t := time.NewTimer(endTime)
+	t := time.NewTimer(stopTimeout)
 	defer t.Stop()
 	select {
 	case <-p.ended:
@@ -140,7 +140,7 @@
 		return nil
 	case <-t.C:
 		p.Kill()
-		return fmt.Errorf("fleet: %s had not ended %v after SIGTERM", p.Name, endTime)
+		return fmt.Errorf("fleet: %s had not ended %v after SIGTERM", p.Name, stopTimeout)
 	case <-ctx.Done():
 		p.Kill()
 		return ctx.Err()
@@ -148,54 +148,54 @@
 }
 
 // Use is what a process has taken of the machine.
-type Use struct {
+type Usage struct {
 	CPU    time.Duration // user and system time, of all its threads
 	Memory int64         // bytes, the peak of what was resident (VmHWM)
 }
 
 // Use reads what the process has taken so far; after its end, all of it.
-func (p *Process) Use() (Use, error) {
+func (p *Process) Usage() (Usage, error) {
 	if !p.Alive() {
-		u := Use{CPU: p.usage.UserTime() + p.usage.SystemTime()}
+		u := Usage{CPU: p.usage.UserTime() + p.usage.SystemTime()}
 		if r, ok := p.usage.SysUsage().(*syscall.Rusage); ok {
 			u.Memory = r.Maxrss << 10
 		}
 		return u, nil
 	}
-	return useOf(p.Pid())
+	return usageOf(p.Pid())
 }
 
 // ticks is the unit of times in /proc/PID/stat (proc_pid_stat(5)): USER_HZ,
 // which Linux keeps at 100 a second on all machines that Go runs on.
-const ticks = 10 * time.Millisecond
+const userHZ = 10 * time.Millisecond
 
 // useOf reads /proc. Where the system has it, the time comes from
 // /proc/PID/task/*/schedstat, in nanoseconds: a hundredth of a second is
 // much of what an idle node takes in some seconds.
-func useOf(pid int) (Use, error) {
+func usageOf(pid int) (Usage, error) {
 	dir := "/proc/" + strconv.Itoa(pid)
 	status, err := os.ReadFile(dir + "/status")
 	if err != nil {
-		return Use{}, fmt.Errorf("fleet: %w", err)
+		return Usage{}, fmt.Errorf("fleet: %w", err)
 	}
-	var u Use
+	var u Usage
 	for line := range strings.SplitSeq(string(status), "\n") {
 		if kb, ok := strings.CutPrefix(line, "VmHWM:"); ok {
 			n, err := strconv.ParseInt(strings.TrimSpace(strings.TrimSuffix(kb, "kB")), 10, 64)
 			if err != nil {
-				return Use{}, fmt.Errorf("fleet: %s/status: %w", dir, err)
+				return Usage{}, fmt.Errorf("fleet: %s/status: %w", dir, err)
 			}
 			u.Memory = n << 10
 		}
 	}
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
-		return Use{}, fmt.Errorf("fleet: %w", err)
+		return Usage{}, fmt.Errorf("fleet: %w", err)
 	}
 	if u.CPU, err = cpuOf(stat); err != nil {
-		return Use{}, fmt.Errorf("fleet: %s/stat: %w", dir, err)
+		return Usage{}, fmt.Errorf("fleet: %s/stat: %w", dir, err)
 	}
-	if fine, ok := schedOf(dir); ok {
+	if fine, ok := schedTimeOf(dir); ok {
 		u.CPU = fine
 	}
 	return u, nil
@@ -211,12 +211,12 @@
 	}
 	user, err1 := strconv.ParseInt(fields[11], 10, 64)
 	system, err2 := strconv.ParseInt(fields[12], 10, 64)
-	return time.Duration(user+system) * ticks, errors.Join(err1, err2)
+	return time.Duration(user+system) * userHZ, errors.Join(err1, err2)
 }
 
 // schedOf sums the threads' time on a processor. A thread that has ended is
 // missing in it, but those of Go's runtime stay.
-func schedOf(dir string) (time.Duration, bool) {
+func schedTimeOf(dir string) (time.Duration, bool) {
 	files, _ := filepath.Glob(dir + "/task/*/schedstat")
 	var sum time.Duration
 	for _, f := range files {
@@ -265,23 +265,23 @@
 }
 
 // tail keeps the end of what is written to it.
-type tail struct {
+type logTail struct {
 	mu  sync.Mutex
 	buf []byte
 }
 
-func (t *tail) Write(b []byte) (int, error) {
+func (t *logTail) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.buf = append(t.buf, b...)
-	if len(t.buf) > 2*keptLog {
-		t.buf = append(t.buf[:0], t.buf[len(t.buf)-keptLog:]...)
+	if len(t.buf) > 2*maxLogBytes {
+		t.buf = append(t.buf[:0], t.buf[len(t.buf)-maxLogBytes:]...)
 	}
 	return len(b), nil
 }
 
-func (t *tail) String() string {
+func (t *logTail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return string(t.buf[max(0, len(t.buf)-keptLog):])
+	return string(t.buf[max(0, len(t.buf)-maxLogBytes):])
 }
--- a/internal/lab/hollow/client.go
+++ b/internal/lab/hollow/client.go
@@ -13,81 +13,81 @@
 )
 
 // outcome is how a try ended for its client.
-type outcome int
+type tryOutcome int
 
 const (
-	served outcome = iota
-	refused
-	failed
-	unreachable // its node was not there: it never ran
+	tryServed tryOutcome = iota
+	tryRejected
+	tryFailed
+	tryUnreachable // its node was not there: it never ran
 )
 
 // client is a client's request over all its tries.
 type client struct {
-	m        *sim
-	arrival  arrivals.Arrival
-	class    *class
-	key      string        // idempotency key
-	sent     time.Duration // the intended time of the first try
-	deadline time.Duration // over all tries
-	tries    int
-	inside   bool // its tenant's share
-	done     bool
-	counts   bool // it was to be sent after the warm-up
+	sim         *sim
+	arrival     arrivals.Arrival
+	class       *class
+	key         string        // idempotency key
+	sentAt      time.Duration // the intended time of the first try
+	deadline    time.Duration // over all tries
+	tries       int
+	withinQuota bool // its tenant's share
+	finished    bool
+	measured    bool // it was to be sent after the warm-up
 }
 
 // offer brings an arrival.
 func (m *sim) offer(a arrivals.Arrival) {
 	k := &m.classes[a.Class]
-	c := &client{m: m, arrival: a, class: k, sent: m.t0 + a.At, counts: a.At >= m.s.Warm.Std()}
-	c.deadline = c.sent + k.Deadline.Std()
-	if k.Effect == "keyed" {
+	c := &client{sim: m, arrival: a, class: k, sentAt: m.trafficStart + a.At, measured: a.At >= m.scenario.Warmup.Std()}
+	c.deadline = c.sentAt + k.Deadline.Std()
+	if k.Idempotency == "keyed" {
 		c.key = strconv.Itoa(a.Number)
 	}
-	m.offered(c)
-	m.clients++
-	c.try()
+	m.recordOffered(c)
+	m.openClients++
+	c.sendTry()
 }
 
 // try sends the request to the client's node or, where the front has noticed
 // that it is not there, to another.
-func (c *client) try() {
-	m := c.m
+func (c *client) sendTry() {
+	m := c.sim
 	c.tries++
 	n := m.nodes[c.arrival.Node]
-	if n.dead || !n.ready || n.leaving {
-		gone := n.leaving || m.now-n.diedAt >= m.s.Traffic.FrontNotice.Std()
-		other := m.another(n, c.arrival.Number+c.tries)
+	if n.dead || !n.ready || n.draining {
+		gone := n.draining || m.now-n.diedAt >= m.scenario.Traffic.FailoverDelay.Std()
+		other := m.alternativeNode(n, c.arrival.Number+c.tries)
 		if other == nil || !gone && c.tries == 1 {
-			c.ended(unreachable, 0)
+			c.tryEnded(tryUnreachable, 0)
 			return
 		}
 		n = other
 	}
-	m.second().tries++
-	if c.counts {
-		m.r.Requests.Tries++
+	m.currentSecond().tries++
+	if c.measured {
+		m.run_.Requests.Tries++
 	}
 	tenant := ""
 	if t := c.arrival.Tenant; t >= 0 {
 		tenant = m.tenants[t]
 	}
 	r := &request{id: balancer.RequestID(strconv.Itoa(c.arrival.Number) + "." + strconv.Itoa(c.tries)), client: c, class: c.class,
-		limit: c.deadline, deadline: c.deadline - node.AnswerMargin}
+		clientDeadline: c.deadline, deadline: c.deadline - node.AnswerMargin}
 	if r.deadline <= m.now {
-		c.ended(failed, 0)
+		c.tryEnded(tryFailed, 0)
 		return
 	}
-	n.open(r, balancer.RequestArrived{ID: r.id, Class: c.class.Name, Tenant: tenant, Key: strconv.Itoa(c.arrival.Key), IsRetry: c.tries > 1})
+	n.accept(r, balancer.RequestArrived{ID: r.id, Class: c.class.Name, Tenant: tenant, Key: strconv.Itoa(c.arrival.Key), IsRetry: c.tries > 1})
 }
 
 // another finds a node of a zone that takes requests, or one of any zone; nil:
 // there is none.
-func (m *sim) another(of *hnode, pick int) *hnode {
-	var near, far []*hnode
+func (m *sim) alternativeNode(of *hollowNode, pick int) *hollowNode {
+	var near, far []*hollowNode
 	for _, n := range m.nodes {
 		switch {
-		case n.dead || n.leaving || !n.ready:
+		case n.dead || n.draining || !n.ready:
 		case n.zone == of.zone:
 			near = append(near, n)
 		default:
@@ -104,35 +104,35 @@
 }
 
 // ended ends a try. The client tries again where it may, has tries left and time.
-func (c *client) ended(o outcome, holdOff time.Duration) {
-	m := c.m
-	if c.done {
+func (c *client) tryEnded(o tryOutcome, holdOff time.Duration) {
+	m := c.sim
+	if c.finished {
 		return
 	}
-	if o != served && c.tries <= m.s.Traffic.Retries && c.mayRepeat(o) {
+	if o != tryServed && c.tries <= m.scenario.Traffic.Retries && c.mayRetry(o) {
 		wait := holdOff
-		if wait <= 0 || !m.s.Fleet.RetryAfter {
-			wait = time.Duration(float64(m.s.Traffic.Backoff) * (0.5 + m.rng.Float64()))
+		if wait <= 0 || !m.scenario.Fleet.RetryAfterAllowed {
+			wait = time.Duration(float64(m.scenario.Traffic.Backoff) * (0.5 + m.rng.Float64()))
 		}
 		if m.now+wait+node.AnswerMargin < c.deadline {
-			m.at(m.now+wait, c.try)
+			m.schedule(m.now+wait, c.sendTry)
 			return
 		}
 	}
-	c.done = true
-	m.clients--
-	m.final(c, o)
+	c.finished = true
+	m.openClients--
+	m.recordFinal(c, o)
 }
 
 // mayRepeat: what was refused or never taken does no harm, nor does what is
 // safe, nor a key that all servers know.
-func (c *client) mayRepeat(o outcome) bool {
+func (c *client) mayRetry(o tryOutcome) bool {
 	k := c.class
-	return o == refused || o == unreachable || k.Effect == "safe" ||
-		k.Effect == "keyed" && k.Scope == "all" && c.m.now-c.sent < k.Window.Std()
+	return o == tryRejected || o == tryUnreachable || k.Idempotency == "safe" ||
+		k.Idempotency == "keyed" && k.KeyScope == "all" && c.sim.now-c.sentAt < k.KeyWindow.Std()
 }
 
 // inOrder gives requests in one order.
-func (m *sim) inOrder(requests map[balancer.RequestID]*request) []*request {
+func (m *sim) sortedRequests(requests map[balancer.RequestID]*request) []*request {
 	return slices.SortedFunc(maps.Values(requests), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
 }
--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -44,52 +44,52 @@
 )
 
 const (
-	settle = time.Second // from the last node's start to the traffic: the first lists arrive, the first ticks pass
+	settleTime = time.Second // from the last node's start to the traffic: the first lists arrive, the first ticks pass
 
 	// The machines' clock at the start of a run, as Unix time. Lists tell
 	// starts in it, and 0 there means long ago.
 	epoch = 1_700_000_000 * time.Second
 
-	slack = 70 * time.Millisecond // of an answer past its deadline: 20 ms of the settings, 50 ms on sockets
+	responseSlack = 70 * time.Millisecond // of an answer past its deadline: 20 ms of the settings, 50 ms on sockets
 
 	// What a call to discovery takes besides the body and the query: the
 	// heads that net/http writes. Source: a real node with 60 servers makes 4
 	// calls a second at rest for 1.18 KB/s, 295 bytes a call, of which the
 	// body {"index":1,"snapshot":false,"endpoints":[]} takes 45.
-	callHead = 250
+	requestOverhead = 250
 )
 
 // sim is one run.
 type sim struct {
-	s      *scenario.Scenario
-	now    time.Duration // since the run's start; models count from there too
-	first  time.Duration // when the first node starts: discovery has told of the servers by then
-	t0     time.Duration // when the traffic begins
-	events events
-	seq    uint64
-	rng    *rand.Rand // of the network and the clients
+	scenario     *scenario.Scenario
+	now          time.Duration // since the run's start; models count from there too
+	firstStart   time.Duration // when the first node starts: discovery has told of the servers by then
+	trafficStart time.Duration // when the traffic begins
+	events       events
+	seq          uint64
+	rng          *rand.Rand // of the network and the clients
 
-	zoneOf   map[string]int
-	delays   [][]time.Duration // between zones
-	cuts     [][]bool          // by zone: those inside
-	stops    []stop            // when nodes can learn nothing
-	byName   map[string]*server
-	servers  []*server // all there ever were
-	places   []*server // who is there now
-	registry *model.Registry
-	regWake  time.Duration
-	versions []time.Duration // when each came about, by version
-	body     []byte          // of the last answer decoded
-	list     discovery.List
+	zoneOf       map[string]int
+	delays       [][]time.Duration // between zones
+	partitions   [][]bool          // by zone: those inside
+	outages      []outage          // when nodes can learn nothing
+	byName       map[string]*server
+	servers      []*server // all there ever were
+	current      []*server // who is there now
+	registry     *model.Registry
+	registryWake time.Duration
+	versionTimes []time.Duration // when each came about, by version
+	decodedBody  []byte          // of the last answer decoded
+	decodedList  discovery.List
 
-	nodes   []*hnode
-	classes []class
-	tenants []string
-	clients int    // that have a request under way
-	works   uint64 // requests that reached a server
-	stop    func() // ends the drawing of arrivals
+	nodes        []*hollowNode
+	classes      []class
+	tenants      []string
+	openClients  int    // that have a request under way
+	lastWorkID   uint64 // requests that reached a server
+	stopArrivals func() // ends the drawing of arrivals
 
-	measure
+	measurement
 }
 
 // class is a scenario's, with what is worked out from it.
@@ -122,7 +122,7 @@
 }
 
 // at has do run at a time, or now if that has passed.
-func (m *sim) at(t time.Duration, do func()) {
+func (m *sim) schedule(t time.Duration, do func()) {
 	m.seq++
 	heap.Push(&m.events, &event{max(t, m.now), m.seq, do})
 }
@@ -149,19 +149,19 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { m.stop() }()
-	if err := m.run(ctx, m.t0); err != nil {
+	defer func() { m.stopArrivals() }()
+	if err := m.run(ctx, m.trafficStart); err != nil {
 		return nil, err
 	}
-	heapAfter := heapNow()
-	if err := m.run(ctx, m.t0+s.Warm.Std()); err != nil {
+	heapAfter := heapInUse()
+	if err := m.run(ctx, m.trafficStart+s.Warmup.Std()); err != nil {
 		return nil, err
 	}
-	m.warmed()
-	if err := m.run(ctx, m.t0+s.Length.Std()); err != nil {
+	m.endWarmup()
+	if err := m.run(ctx, m.trafficStart+s.Length.Std()); err != nil {
 		return nil, err
 	}
-	m.trafficEnded()
+	m.endTraffic()
 	longest := time.Duration(0)
 	for _, c := range s.Classes {
 		longest = max(longest, c.Deadline.Std())
@@ -176,7 +176,7 @@
 }
 
 // heapNow is what lives on the heap, in bytes.
-func heapNow() int64 {
+func heapInUse() int64 {
 	runtime.GC()
 	var st runtime.MemStats
 	runtime.ReadMemStats(&st)
@@ -184,10 +184,10 @@
 }
 
 func newSim(s *scenario.Scenario) (*sim, error) {
-	m := &sim{s: s, rng: rand.New(rand.NewPCG(s.Seed, 2<<32)), zoneOf: map[string]int{}, byName: map[string]*server{},
-		versions: []time.Duration{0}, regWake: discovery.Never, stop: func() {},
-		first: s.Disco.Delay.Std() + s.Disco.Spread.Std()}
-	m.t0 = m.first + s.Fleet.StartSpread.Std() + settle
+	m := &sim{scenario: s, rng: rand.New(rand.NewPCG(s.Seed, 2<<32)), zoneOf: map[string]int{}, byName: map[string]*server{},
+		versionTimes: []time.Duration{0}, registryWake: discovery.Never, stopArrivals: func() {},
+		firstStart: s.Discovery.Delay.Std() + s.Discovery.DelaySpread.Std()}
+	m.trafficStart = m.firstStart + s.Fleet.StartSpread.Std() + settleTime
 	for i, z := range s.Zones {
 		m.zoneOf[z.Name] = i
 	}
@@ -199,7 +199,7 @@
 		m.delays = append(m.delays, row)
 	}
 	for _, c := range s.Classes {
-		scope, err := model.ParseScope(c.Scope)
+		scope, err := model.ParseScope(c.KeyScope)
 		if err != nil {
 			return nil, err
 		}
@@ -208,27 +208,27 @@
 	for t := range s.Traffic.Tenants {
 		m.tenants = append(m.tenants, scenario.TenantName(t))
 	}
-	m.measure.init(m)
-	m.registry = model.NewRegistry(model.RegistryConfig{Nodes: s.Fleet.Nodes, OnDemand: s.Disco.Asked, Delay: s.Disco.Delay.Std(),
-		DelaySpread: s.Disco.Spread.Std(), ResponseTime: s.Disco.Answer.Std()}, rand.New(rand.NewPCG(s.Seed, 3<<32)))
+	m.measurement.init(m)
+	m.registry = model.NewRegistry(model.RegistryConfig{Nodes: s.Fleet.Nodes, OnDemand: s.Discovery.OnDemand, Delay: s.Discovery.Delay.Std(),
+		DelaySpread: s.Discovery.DelaySpread.Std(), ResponseTime: s.Discovery.ResponseTime.Std()}, rand.New(rand.NewPCG(s.Seed, 3<<32)))
 	m.buildServers()
-	m.heapBefore = heapNow()
+	m.heapBefore = heapInUse()
 	if err := m.buildNodes(); err != nil {
 		return nil, err
 	}
 	for i := range s.Events {
-		m.plan(i)
+		m.scheduleEvent(i)
 	}
-	m.at(m.t0, m.arrivals)
+	m.schedule(m.trafficStart, m.startArrivals)
 	return m, nil
 }
 
 // buildNodes has all configurations read, side by side as each is large where
 // there are many servers, and starts the nodes over the spread.
 func (m *sim) buildNodes() error {
-	count := m.s.Fleet.Nodes
-	m.nodes = make([]*hnode, count)
-	errs, known, next := make([]error, count), m.known(), make(chan int)
+	count := m.scenario.Fleet.Nodes
+	m.nodes = make([]*hollowNode, count)
+	errs, known, next := make([]error, count), m.knownList(), make(chan int)
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		workers.Add(1)
@@ -249,13 +249,13 @@
 			return fmt.Errorf("hollow: node %d: %w", i, err)
 		}
 		n := m.nodes[i]
-		m.at(m.first+time.Duration(i)*m.s.Fleet.StartSpread.Std()/time.Duration(count), n.run)
+		m.schedule(m.firstStart+time.Duration(i)*m.scenario.Fleet.StartSpread.Std()/time.Duration(count), n.start)
 	}
 	return nil
 }
 
 // known is the list now, as a configuration has it.
-func (m *sim) known() json.RawMessage {
+func (m *sim) knownList() json.RawMessage {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"index":%d,"snapshot":true,"endpoints":[`, m.registry.Version())
 	first := true
@@ -275,8 +275,8 @@
 }
 
 // newNode reads a node's configuration as it is after its start-th restart.
-func (m *sim) newNode(i, start int, known json.RawMessage) (*hnode, error) {
-	raw, err := m.s.Config(i, scenario.Told{Start: start, Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2", Known: known})
+func (m *sim) newNode(i, start int, known json.RawMessage) (*hollowNode, error) {
+	raw, err := m.scenario.NodeConfig(i, scenario.NodeStart{Incarnation: start, Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2", KnownList: known})
 	if err != nil {
 		return nil, err
 	}
@@ -284,22 +284,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return newHollow(m, i, start, cfg), nil
+	return newHollowNode(m, i, start, cfg), nil
 }
 
 // arrivals has clients send their requests, each drawn as the one before is sent.
-func (m *sim) arrivals() {
+func (m *sim) startArrivals() {
 	var next func() (arrivals.Arrival, bool)
-	next, m.stop = iter.Pull(arrivals.All(m.s))
+	next, m.stopArrivals = iter.Pull(arrivals.All(m.scenario))
 	a, ok := next()
 	var step func()
 	step = func() {
-		for ok && m.t0+a.At <= m.now {
+		for ok && m.trafficStart+a.At <= m.now {
 			m.offer(a)
 			a, ok = next()
 		}
 		if ok {
-			m.at(m.t0+a.At, step)
+			m.schedule(m.trafficStart+a.At, step)
 		}
 	}
 	step()
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -85,10 +85,10 @@
 func TestOrdinary(t *testing.T) {
 	r := play(t, load(t, "", "tenants = 10\nquota = 10", ""))
 	q := r.Requests
-	if q.Offered < 900 || q.Offered > 1100 || q.Lost != 0 || len(r.Broken) > 0 || float64(q.InAim) < 0.99*float64(q.Offered) {
-		t.Errorf("%+v, broken %q", q, r.Broken)
+	if q.Offered < 900 || q.Offered > 1100 || q.Lost != 0 || len(r.Violations) > 0 || float64(q.WithinObjective) < 0.99*float64(q.Offered) {
+		t.Errorf("%+v, broken %q", q, r.Violations)
 	}
-	if q.Served+q.Refused+q.Failed != q.Offered || q.Tries < q.Offered || q.Attempts < q.Served {
+	if q.Served+q.Rejected+q.Failed != q.Offered || q.Tries < q.Offered || q.Attempts < q.Served {
 		t.Errorf("counts do not add up: %+v", q)
 	}
 	// Blind picks would take 5 in 12 across: three of four nodes are in region
@@ -102,8 +102,8 @@
 	if c := r.Control; c.Calls < 75 || c.Calls > 85 || c.NodeRate < 1000 || c.NodeRate > 1400 {
 		t.Errorf("control %+v, want 4 calls and about 1,180 bytes a second and node", c)
 	}
-	if q.InsideShares < q.Offered*2/5 || q.InsideShares > q.Offered*3/5 {
-		t.Errorf("%d of %d requests inside shares that are half of the traffic", q.InsideShares, q.Offered)
+	if q.WithinQuota < q.Offered*2/5 || q.WithinQuota > q.Offered*3/5 {
+		t.Errorf("%d of %d requests inside shares that are half of the traffic", q.WithinQuota, q.Offered)
 	}
 }
 
@@ -138,7 +138,7 @@
 	part := func(r *result.Run, second int) float64 {
 		return float64(r.Windows[second].Served) / float64(r.Windows[second].Offered)
 	}
-	sum := func(r *result.Run, name string) float64 { return r.Sums[name].Worst }
+	sum := func(r *result.Run, name string) float64 { return r.Peaks[name].Worst }
 	for _, c := range []struct {
 		name, discovery, events string
 		want                    func(*result.Run) bool
@@ -165,28 +165,28 @@
 			return r.Control.Changes == 6 && sum(r, "sends_to_absent") > 0
 		}},
 		{"cut", "", happens(`do = "cut"`, `for = "1s"`, `region = "east"`) + happens(`do = "change-lists"`, `count = 2`), func(r *result.Run) bool {
-			return sum(r, "sends_to_absent") > 0 && r.Control.Told.Max > 1 && r.Control.Told.Count == 8
+			return sum(r, "sends_to_absent") > 0 && r.Control.Notification.Max > 1 && r.Control.Notification.Count == 8
 		}},
 		{"kill-nodes", "", happens(`do = "kill-nodes"`, `count = 1`), func(r *result.Run) bool {
-			return r.Control.Lists == 1 && r.Latency["all"].P99 > 0.2 && part(r, 5) > 0.97
+			return r.Control.Snapshots == 1 && r.Latency["all"].P99 > 0.2 && part(r, 5) > 0.97
 		}},
 		{"restart-nodes", "", happens(`do = "restart-nodes"`, `count = 1`), func(r *result.Run) bool {
-			return r.Control.Lists == 1 && r.Requests.Failed == 0 && r.Latency["all"].P99 < 0.2
+			return r.Control.Snapshots == 1 && r.Requests.Failed == 0 && r.Latency["all"].P99 < 0.2
 		}},
 		{"change-lists", "", happens(`do = "change-lists"`, `count = 10`, `over = "1s"`), func(r *result.Run) bool {
-			return r.Control.Changes == 10 && r.Control.Told.Count == 40 && r.Control.Told.Max < 0.3 && r.Control.Told.Mean > 0.1
+			return r.Control.Changes == 10 && r.Control.Notification.Count == 40 && r.Control.Notification.Max < 0.3 && r.Control.Notification.Mean > 0.1
 		}},
 		{"discovery-down", "", happens(`do = "discovery-down"`, `for = "1s"`) + happens(`do = "change-lists"`, `count = 1`), func(r *result.Run) bool {
-			return r.Control.Told.P50 > 1 && r.Control.Told.Count == 4 && part(r, 2) > 0.97
+			return r.Control.Notification.P50 > 1 && r.Control.Notification.Count == 4 && part(r, 2) > 0.97
 		}},
 		{"discovery-silent", "", happens(`do = "discovery-silent"`, `for = "1s"`) + happens(`do = "change-lists"`, `count = 1`), func(r *result.Run) bool {
-			return r.Control.Told.P50 > 1 && r.Control.Told.Count == 4 && part(r, 2) > 0.97
+			return r.Control.Notification.P50 > 1 && r.Control.Notification.Count == 4 && part(r, 2) > 0.97
 		}},
 		{"watches-break", "asked = true", happens(`do = "watches-break"`), func(r *result.Run) bool {
 			return r.Control.Calls == 8 && part(r, 2) > 0.97 // of each node one answered at once, and the next watch
 		}},
 		{"asked lists", "asked = true", happens(`do = "change-lists"`, `count = 2`, `over = "1s"`), func(r *result.Run) bool {
-			return r.Control.Told.Count == 8 && r.Control.Calls == 8
+			return r.Control.Notification.Count == 8 && r.Control.Calls == 8
 		}},
 		{"burst", "", happens(`do = "burst"`, `for = "1s"`, `by = 3`), func(r *result.Run) bool {
 			return r.Windows[2].Offered > 2*r.Windows[1].Offered && r.Windows[3].Offered < 300
@@ -195,8 +195,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			r := play(t, load(t, c.discovery, "", c.events))
-			if len(r.Broken) > 0 || r.Requests.Lost > 0 {
-				t.Errorf("%d lost, broken: %q", r.Requests.Lost, r.Broken)
+			if len(r.Violations) > 0 || r.Requests.Lost > 0 {
+				t.Errorf("%d lost, broken: %q", r.Requests.Lost, r.Violations)
 			}
 			if !c.want(r) {
 				var b bytes.Buffer
@@ -212,66 +212,66 @@
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		name, class string
-		deed        func(m *sim, n *hnode, r *request)
+		deed        func(m *sim, n *hollowNode, r *request)
 		want        string
 	}{
-		{"attempts", "read", func(m *sim, n *hnode, r *request) {
+		{"attempts", "read", func(m *sim, n *hollowNode, r *request) {
 			for range 4 {
 				send(m, n, r, 0)
 				r.attempts[len(r.attempts)-1].cancel()
 			}
 		}, "3 are allowed"},
-		{"overlap", "read", func(m *sim, n *hnode, r *request) { send(m, n, r, 0); send(m, n, r, 1) }, "two attempts"},
-		{"unsafe", "order", func(m *sim, n *hnode, r *request) {
+		{"overlap", "read", func(m *sim, n *hollowNode, r *request) { send(m, n, r, 0); send(m, n, r, 1) }, "two attempts"},
+		{"unsafe", "order", func(m *sim, n *hollowNode, r *request) {
 			send(m, n, r, 0)
 			m.run(context.Background(), m.now+5*ms)
 			r.attempts[0].cancel()
 			send(m, n, r, 1)
 		}, "unsafe"},
-		{"scope", "save", func(m *sim, n *hnode, r *request) {
+		{"scope", "save", func(m *sim, n *hollowNode, r *request) {
 			send(m, n, r, 0)
 			m.run(context.Background(), m.now+5*ms)
 			r.attempts[0].cancel()
 			send(m, n, r, 1)
 		}, "leaves its cell"},
-		{"window", "save", func(m *sim, n *hnode, r *request) {
+		{"window", "save", func(m *sim, n *hollowNode, r *request) {
 			send(m, n, r, 0)
 			m.run(context.Background(), m.now+5*ms)
 			r.attempts[0].cancel()
-			m.classes[1].Window = scenario.Duration(ms)
+			m.classes[1].KeyWindow = scenario.Duration(ms)
 			m.run(context.Background(), m.now+100*ms)
 			send(m, n, r, 0)
 			m.run(context.Background(), m.now+5*ms)
 		}, "its key is known for"},
-		{"refusal", "order", func(m *sim, n *hnode, r *request) {
+		{"refusal", "order", func(m *sim, n *hollowNode, r *request) {
 			send(m, n, r, 0)
-			n.act(balancer.Reject{ID: r.id})
+			n.apply(balancer.Reject{ID: r.id})
 		}, "is refused"},
-		{"drain", "read", func(m *sim, n *hnode, r *request) {
-			m.status(m.places[0], "draining")
-			for v := range m.versions {
-				m.versions[v] = 0 // long ago
+		{"drain", "read", func(m *sim, n *hollowNode, r *request) {
+			m.setStatus(m.current[0], "draining")
+			for v := range m.versionTimes {
+				m.versionTimes[v] = 0 // long ago
 			}
 			for _, b := range n.pool.backends {
-				b.server = m.places[0]
+				b.server = m.current[0]
 			}
 			send(m, n, r, 1)
 			m.run(context.Background(), m.now+5*ms)
 		}, "told as draining"},
-		{"late", "read", func(m *sim, n *hnode, r *request) {
-			r.limit = m.now - time.Second
-			n.act(balancer.Fail{ID: r.id})
+		{"late", "read", func(m *sim, n *hollowNode, r *request) {
+			r.clientDeadline = m.now - time.Second
+			n.apply(balancer.Fail{ID: r.id})
 		}, "late"},
-		{"never", "read", func(m *sim, n *hnode, r *request) { r.done = true }, "got no answer"},
-		{"cold", "read", func(m *sim, n *hnode, r *request) {
-			sv := m.places[0]
-			m.start(sv)
+		{"never", "read", func(m *sim, n *hollowNode, r *request) { r.answered = true }, "got no answer"},
+		{"cold", "read", func(m *sim, n *hollowNode, r *request) {
+			sv := m.current[0]
+			m.startServer(sv)
 			m.run(context.Background(), m.now+300*ms) // all are told
 			for range 200 {
 				sv.model.Connect(m.now)
-				m.works++
-				sv.model.Arrive(m.now, nil, model.Work{ID: uint64(m.works), Cost: m.meanCost})
-				m.pushed(sv, n)
+				m.lastWorkID++
+				sv.model.Arrive(m.now, nil, model.Work{ID: uint64(m.lastWorkID), Cost: m.meanCost})
+				m.checkColdLoad(sv, n)
 			}
 		}, "that were told"},
 	} {
@@ -283,29 +283,29 @@
 				t.Fatal(err)
 			}
 			ctx := context.Background()
-			m.run(ctx, m.t0+2*time.Second)
+			m.run(ctx, m.trafficStart+2*time.Second)
 			n := m.nodes[0]
 			k := &m.classes[map[string]int{"read": 0, "save": 1, "order": 2}[c.class]]
-			cl := &client{m: m, class: k, sent: m.now, deadline: m.now + time.Second, key: "k"}
+			cl := &client{sim: m, class: k, sentAt: m.now, deadline: m.now + time.Second, key: "k"}
 			cl.arrival.Tenant, cl.arrival.Work, cl.arrival.At = -1, time.Minute, 2*time.Second
-			m.clients++
-			r := &request{id: "r", client: cl, class: k, arrived: m.now, limit: cl.deadline, deadline: cl.deadline}
+			m.openClients++
+			r := &request{id: "r", client: cl, class: k, arrived: m.now, clientDeadline: cl.deadline, deadline: cl.deadline}
 			n.requests[r.id] = r
 			c.deed(m, n, r)
 			m.run(ctx, m.now+2*time.Second)
-			got := strings.Join(m.result().Broken, "\n")
+			got := strings.Join(m.result().Violations, "\n")
 			if !strings.Contains(got, c.want) {
 				t.Errorf("broken: %q, want %q", got, c.want)
 			}
-			m.stop()
+			m.stopArrivals()
 		})
 	}
 }
 
 // send has the node send to the i-th of its servers, as if the module had said so.
-func send(m *sim, n *hnode, r *request, i int) {
-	id, _ := n.servers.ID(m.places[i].Name)
-	n.act(balancer.Send{ID: r.id, Endpoint: id})
+func send(m *sim, n *hollowNode, r *request, i int) {
+	id, _ := n.endpoints.ID(m.current[i].Name)
+	n.apply(balancer.Send{ID: r.id, Endpoint: id})
 	m.run(context.Background(), m.now)
 }
 
@@ -318,8 +318,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer func() { m.stop() }()
-	m.run(context.Background(), m.t0+time.Second)
+	defer func() { m.stopArrivals() }()
+	m.run(context.Background(), m.trafficStart+time.Second)
 	for b.Loop() {
 		m.run(context.Background(), m.now+time.Second)
 	}
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -12,62 +12,62 @@
 )
 
 const (
-	longestHeld = 3 * time.Second        // SIGKILL waits for the longest deadline, counted as so long at most,
-	killSlack   = 700 * time.Millisecond // and so much more: the protocol's page
-	endSlack    = 300 * time.Millisecond // before it all answers are given, as package node has it
+	maxDeadlineWait = 3 * time.Second        // SIGKILL waits for the longest deadline, counted as so long at most,
+	killSlack       = 700 * time.Millisecond // and so much more: the protocol's page
+	answerLead      = 300 * time.Millisecond // before it all answers are given, as package node has it
 )
 
 // hnode is a hollow node: one life of it, from a start to its end.
-type hnode struct {
-	m        *sim
-	index    int
-	life     int // how often it had started before
-	zone     int
-	cfg      node.Config
-	module   *balancer.Balancer
-	servers  discovery.Directory
-	watcher  *discovery.Watcher
-	requests map[balancer.RequestID]*request
-	queue    []balancer.Event // that came of actions, to be handled next
-	pool     pool
-
-	born    time.Duration
-	diedAt  time.Duration
-	ready   bool // it has been seen to have servers
-	dead    bool
-	leaving bool
-	ends    time.Duration // all answers are given by then; 0: no order to stop yet
-
-	call   discovery.Poll // under way
-	callID uint64         // the registry's name for it; 0: none
-	pollAt time.Duration  // when the watcher is asked next
-
-	version uint64 // of its list
-	history []learned
+type hollowNode struct {
+	sim           *sim
+	index         int
+	incarnation   int // how often it had started before
+	zone          int
+	cfg           node.Config
+	balancer      *balancer.Balancer
+	endpoints     discovery.Directory
+	watcher       *discovery.Watcher
+	requests      map[balancer.RequestID]*request
+	pendingEvents []balancer.Event // that came of actions, to be handled next
+	pool          pool
+
+	startedAt time.Duration
+	diedAt    time.Duration
+	ready     bool // it has been seen to have servers
+	dead      bool
+	draining  bool
+	answerBy  time.Duration // all answers are given by then; 0: no order to stop yet
+
+	poll       discovery.Poll // under way
+	callID     uint64         // the registry's name for it; 0: none
+	nextPollAt time.Duration  // when the watcher is asked next
+
+	version      uint64 // of its list
+	observations []observation
 }
 
 // learned is when a node took up a version.
-type learned struct {
+type observation struct {
 	version uint64
 	at      time.Duration
 }
 
 // request is a client's try until it is answered and its attempts have ended.
 type request struct {
-	id       balancer.RequestID
-	client   *client
-	class    *class
-	deadline time.Duration // for the node
-	limit    time.Duration // for its client
-	arrived  time.Duration
-	attempts []*attempt
-	running  int
-	done     bool
+	id             balancer.RequestID
+	client         *client
+	class          *class
+	deadline       time.Duration // for the node
+	clientDeadline time.Duration // for its client
+	arrived        time.Duration
+	attempts       []*attempt
+	inFlight       int
+	answered       bool
 }
 
-func newHollow(m *sim, i, life int, cfg node.Config) *hnode {
-	n := &hnode{m: m, index: i, life: life, zone: m.zoneOf[cfg.Settings.Zone], cfg: cfg, pollAt: discovery.Never,
-		module: balancer.New(cfg.Settings, cfg.Seed), requests: map[balancer.RequestID]*request{}}
+func newHollowNode(m *sim, i, life int, cfg node.Config) *hollowNode {
+	n := &hollowNode{sim: m, index: i, incarnation: life, zone: m.zoneOf[cfg.Settings.Zone], cfg: cfg, nextPollAt: discovery.Never,
+		balancer: balancer.New(cfg.Settings, cfg.Seed), requests: map[balancer.RequestID]*request{}}
 	n.watcher = discovery.NewWatcher(discovery.ScheduleFor(cfg.Settings),
 		rand.New(rand.NewPCG(uint64(cfg.Seed), 1)).Float64)
 	_, most := cfg.Connections()
@@ -76,79 +76,79 @@
 }
 
 // run starts the node, as node.Run does: first the list that it had.
-func (n *hnode) run() {
-	n.born = n.m.now
+func (n *hollowNode) start() {
+	n.startedAt = n.sim.now
 	if n.dead {
 		return
 	}
-	n.follow(n.cfg.Known, balancer.CachedUpdate)
+	n.applyUpdate(n.cfg.Known, balancer.CachedUpdate)
 	n.cfg.Known = discovery.List{}
 	n.pool.expireLater()
-	n.poll()
+	n.startPoll()
 }
 
 // clock is the module's: the machine's wall clock.
-func (n *hnode) clock() balancer.Time { return epoch + n.m.now }
+func (n *hollowNode) clock() balancer.Time { return epoch + n.sim.now }
 
 // handle tells the module of an event and carries out what it decides, in order.
-func (n *hnode) handle(e balancer.Event) {
-	n.queue = append(n.queue, e)
-	if len(n.queue) > 1 {
+func (n *hollowNode) handle(e balancer.Event) {
+	n.pendingEvents = append(n.pendingEvents, e)
+	if len(n.pendingEvents) > 1 {
 		return // the call further up gets to it
 	}
-	for len(n.queue) > 0 {
-		for _, a := range n.decide(n.queue[0]) {
-			n.act(a)
+	for len(n.pendingEvents) > 0 {
+		for _, a := range n.callBalancer(n.pendingEvents[0]) {
+			n.apply(a)
 		}
-		n.queue = n.queue[1:]
+		n.pendingEvents = n.pendingEvents[1:]
 	}
-	n.queue = nil
+	n.pendingEvents = nil
 }
 
 // decide has the module handle an event, and takes the time of it.
-func (n *hnode) decide(e balancer.Event) []balancer.Action {
+func (n *hollowNode) callBalancer(e balancer.Event) []balancer.Action {
 	began := time.Now()
-	actions := n.module.Handle(n.clock(), e)
-	n.m.moduleTime += time.Since(began)
-	n.m.moduleEvents++
+	actions := n.balancer.Handle(n.clock(), e)
+	n.sim.balancerTime += time.Since(began)
+	n.sim.balancerEvents++
 	return actions
 }
 
-func (n *hnode) act(a balancer.Action) {
-	m := n.m
+func (n *hollowNode) apply(a balancer.Action) {
+	m := n.sim
 	switch a := a.(type) {
 	case balancer.Send:
 		n.send(a)
 	case balancer.Reject:
-		if r := n.requests[a.ID]; r != nil && !r.done {
-			m.judgeRefusal(r)
+		if r := n.requests[a.ID]; r != nil && !r.answered {
+			m.checkRejection(r)
 		}
-		n.finish(a.ID, refused, a.RetryAfter)
+		n.answer(a.ID, tryRejected, a.RetryAfter)
 	case balancer.Fail:
-		n.finish(a.ID, failed, 0)
+		n.answer(a.ID, tryFailed, 0)
 	case balancer.CancelAttempt:
 		if r := n.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
-			n.later(m.now, r.attempts[a.Attempt].cancel)
+			n.schedule(m.now, r.attempts[a.Attempt].cancel)
 		}
 	case balancer.SetTimer:
-		n.later(m.now+a.After, func() { n.handle(balancer.TimerFired{Token: a.Token}) })
+		n.schedule(m.now+a.After, func() { n.handle(balancer.TimerFired{Token: a.Token}) })
 	case balancer.CloseIdleConnections:
 		n.pool.closeIdle(a.Endpoint)
 	case balancer.Subscribe:
-		n.ask(false, a.On)
+		n.requestPoll(false, a.On)
 	case balancer.FetchEndpoints:
-		n.ask(true, n.cfg.Settings.EndpointsOnDemand)
+		n.requestPoll(true, n.cfg.Settings.EndpointsOnDemand)
 	case balancer.EndpointEjected:
-		m.second().suspects++
+		m.currentSecond().ejections++
 	case balancer.EndpointRecovered:
 	default:
-		m.broke("node %d: the action %T cannot be carried out", n.index, a)
+		m.violation("node %d: the action %T cannot be carried out", n.index, a)
 	}
 }
 
 // later has do run unless the node has ended by then.
-func (n *hnode) later(t time.Duration, do func()) {
-	n.m.at(t, func() {
+func (n *hollowNode) schedule(t time.Duration, do func()) {
+	n.sim.schedule(t, func() {
 		if !n.dead {
 			do()
 		}
@@ -156,34 +156,34 @@
 }
 
 // open takes a client's try.
-func (n *hnode) open(r *request, e balancer.RequestArrived) {
-	m := n.m
+func (n *hollowNode) accept(r *request, e balancer.RequestArrived) {
+	m := n.sim
 	r.arrived = m.now
 	if most := n.cfg.Settings.MaxOpenRequests; most > 0 && len(n.requests) >= most {
-		r.done = true
-		r.client.ended(refused, 0)
+		r.answered = true
+		r.client.tryEnded(tryRejected, 0)
 		return
 	}
-	if n.ends > 0 && n.ends < r.deadline {
-		r.deadline = n.ends
+	if n.answerBy > 0 && n.answerBy < r.deadline {
+		r.deadline = n.answerBy
 	}
 	e.Timeout = r.deadline - m.now
 	n.requests[r.id] = r
-	n.guard(r, r.deadline+node.GuardDelay)
+	n.answerAtDeadline(r, r.deadline+node.GuardDelay)
 	n.handle(e)
 }
 
 // guard answers at a time what the module has not answered by then.
-func (n *hnode) guard(r *request, t time.Duration) {
-	n.later(t, func() {
-		if r.done {
+func (n *hollowNode) answerAtDeadline(r *request, t time.Duration) {
+	n.schedule(t, func() {
+		if r.answered {
 			return
 		}
-		m := n.m
-		m.second().guarded++
-		n.finish(r.id, failed, 0)
+		m := n.sim
+		m.currentSecond().deadlineAnswers++
+		n.answer(r.id, tryFailed, 0)
 		for _, a := range r.attempts {
-			n.later(m.now, a.cancel)
+			n.schedule(m.now, a.cancel)
 		}
 		n.handle(balancer.RequestAbandoned{ID: r.id})
 	})
@@ -191,77 +191,77 @@
 
 // finish gives a try its final answer. All answers pass here, and only the
 // first goes on.
-func (n *hnode) finish(id balancer.RequestID, o outcome, holdOff time.Duration) {
+func (n *hollowNode) answer(id balancer.RequestID, o tryOutcome, holdOff time.Duration) {
 	r := n.requests[id]
-	if r == nil || r.done {
+	if r == nil || r.answered {
 		return
 	}
-	r.done = true
-	n.m.judgeAnswer(r)
+	r.answered = true
+	n.sim.checkAnswerTime(r)
 	for _, a := range r.attempts { // what has not been sent is called off
-		if a.dialling() {
-			n.later(n.m.now, a.moot)
+		if a.notWritten() {
+			n.schedule(n.sim.now, a.cancelUnsent)
 		}
 	}
-	r.client.ended(o, holdOff)
+	r.client.tryEnded(o, holdOff)
 	n.forget(r)
 }
 
-func (n *hnode) forget(r *request) {
-	if r.done && r.running == 0 {
+func (n *hollowNode) forget(r *request) {
+	if r.answered && r.inFlight == 0 {
 		delete(n.requests, r.id)
 	}
 }
 
-func (n *hnode) send(s balancer.Send) {
-	m := n.m
+func (n *hollowNode) send(s balancer.Send) {
+	m := n.sim
 	r := n.requests[s.ID]
 	if r == nil {
-		m.broke("node %d sends a request that is not open", n.index)
+		m.violation("node %d sends a request that is not open", n.index)
 		return
 	}
 	left := r.deadline - m.now
 	if s.Timeout != 0 {
 		left = min(left, s.Timeout)
 	}
-	a := &attempt{n: n, r: r, number: len(r.attempts), id: s.Endpoint, sent: m.now, end: m.now + left}
+	a := &attempt{node: n, request: r, number: len(r.attempts), endpoint: s.Endpoint, sentAt: m.now, timeoutAt: m.now + left}
 	if s.StartWithin > 0 {
-		a.openEnd = m.now + s.StartWithin
+		a.startBy = m.now + s.StartWithin
 	}
-	if r.done || r.running > 0 && !n.cfg.Settings.HedgingAllowed {
-		a.state, a.code = over, balancer.NotSent
-		m.judgeSend(a, r.attempts)
+	if r.answered || r.inFlight > 0 && !n.cfg.Settings.HedgingAllowed {
+		a.state, a.outcome = attemptOver, balancer.NotSent
+		m.checkSend(a, r.attempts)
 		r.attempts = append(r.attempts, a)
-		n.queue = append(n.queue, balancer.AttemptEnded{ID: r.id, Attempt: a.number, Endpoint: s.Endpoint, RequestDone: r.done, Outcome: balancer.NotSent})
+		n.pendingEvents = append(n.pendingEvents, balancer.AttemptEnded{ID: r.id, Attempt: a.number, Endpoint: s.Endpoint, RequestDone: r.answered, Outcome: balancer.NotSent})
 		return
 	}
-	m.judgeSend(a, r.attempts)
+	m.checkSend(a, r.attempts)
 	r.attempts = append(r.attempts, a)
-	r.running++
-	m.attempted(a)
-	n.later(m.now, a.begin)
+	r.inFlight++
+	m.recordAttempt(a)
+	n.schedule(m.now, a.start)
 }
 
 // ended passes on how an attempt ended.
-func (n *hnode) ended(a *attempt) {
-	r := a.r
-	r.running--
-	if a.code == balancer.OK {
-		if !r.done {
-			n.m.served(a)
+func (n *hollowNode) attemptEnded(a *attempt) {
+	r := a.request
+	r.inFlight--
+	if a.outcome == balancer.OK {
+		if !r.answered {
+			n.sim.recordAdded(a)
 		}
-		n.finish(r.id, served, 0)
+		n.answer(r.id, tryServed, 0)
 	}
-	n.handle(balancer.AttemptEnded{ID: r.id, Attempt: a.number, Endpoint: a.id, RequestDone: r.done, Elapsed: n.m.now - a.sent, Outcome: a.code})
+	n.handle(balancer.AttemptEnded{ID: r.id, Attempt: a.number, Endpoint: a.endpoint, RequestDone: r.answered, Elapsed: n.sim.now - a.sentAt, Outcome: a.outcome})
 	n.forget(r)
 }
 
 // follow takes a list: what the pool needs, the rest for the module.
-func (n *hnode) follow(l discovery.List, kind balancer.UpdateKind) {
-	u, changes := n.servers.Apply(l, kind)
+func (n *hollowNode) applyUpdate(l discovery.List, kind balancer.UpdateKind) {
+	u, changes := n.endpoints.Apply(l, kind)
 	for _, c := range changes {
 		if c.State != balancer.Removed {
-			n.pool.set(c.ID, n.m.byName[c.Name], c.StartedAtMS, c.State != balancer.Ready)
+			n.pool.set(c.ID, n.sim.byName[c.Name], c.StartedAtMS, c.State != balancer.Ready)
 		}
 	}
 	n.handle(u)
@@ -270,27 +270,27 @@
 			n.pool.remove(c.ID)
 		}
 	}
-	n.ready = n.ready || n.servers.Len() > 0
-	n.learn(l.Version)
+	n.ready = n.ready || n.endpoints.Len() > 0
+	n.observe(l.Version)
 }
 
 // learn notes when the node took up versions that came about in its life.
-func (n *hnode) learn(version uint64) {
-	m := n.m
+func (n *hollowNode) observe(version uint64) {
+	m := n.sim
 	for v := n.version + 1; v <= version; v++ {
-		if at := m.versions[v]; at > n.born && m.measured(at) {
-			m.toldTimes.Add(m.now - at)
+		if at := m.versionTimes[v]; at > n.startedAt && m.measured(at) {
+			m.notificationTimes.Add(m.now - at)
 		}
 	}
 	if version > n.version {
 		n.version = version
-		n.history = append(n.history, learned{version, m.now})
+		n.observations = append(n.observations, observation{version, m.now})
 	}
 }
 
 // learned is when the node took up a version.
-func (n *hnode) learned(version uint64) time.Duration {
-	for _, l := range n.history {
+func (n *hollowNode) observedAt(version uint64) time.Duration {
+	for _, l := range n.observations {
 		if l.version >= version {
 			return l.at
 		}
@@ -299,157 +299,157 @@
 }
 
 // poll makes the call to discovery that is due, or comes back when one is.
-func (n *hnode) poll() {
-	m := n.m
+func (n *hollowNode) startPoll() {
+	m := n.sim
 	call, at, ok := n.watcher.Next(m.now)
 	switch {
 	case ok:
-		n.call = call
-		n.request(call, call.LongPollTimeout)
+		n.poll = call
+		n.sendPoll(call, call.LongPollTimeout)
 		for _, at := range call.RequestTimes()[1:] {
-			n.later(m.now+at, func() {
-				if n.calling(call) {
-					n.hangup()
-					n.request(call, 0)
+			n.schedule(m.now+at, func() {
+				if n.polling(call) {
+					n.cancelPoll()
+					n.sendPoll(call, 0)
 				}
 			})
 		}
-		n.later(m.now+call.Timeout, func() {
-			if n.calling(call) {
-				n.hangup()
-				n.callFailed(call)
+		n.schedule(m.now+call.Timeout, func() {
+			if n.polling(call) {
+				n.cancelPoll()
+				n.pollFailed(call)
 			}
 		})
-	case at != discovery.Never && at != n.pollAt:
-		n.pollAt = at
-		n.later(at, func() {
-			if n.pollAt == at {
-				n.pollAt = discovery.Never
-				n.poll()
+	case at != discovery.Never && at != n.nextPollAt:
+		n.nextPollAt = at
+		n.schedule(at, func() {
+			if n.nextPollAt == at {
+				n.nextPollAt = discovery.Never
+				n.startPoll()
 			}
 		})
 	}
 }
 
 // calling tells whether a call is under way.
-func (n *hnode) calling(call discovery.Poll) bool { return n.callID != 0 && n.call == call }
+func (n *hollowNode) polling(call discovery.Poll) bool { return n.callID != 0 && n.poll == call }
 
 // request makes a request of a call. Here the next one takes the place of the
 // one before, where a node's goes out beside it.
-func (n *hnode) request(call discovery.Poll, hold time.Duration) {
-	m := n.m
+func (n *hollowNode) sendPoll(call discovery.Poll, hold time.Duration) {
+	m := n.sim
 	n.callID = m.registry.Call(m.now, n.index, call.FromVersion, hold)
 	m.wakeRegistry()
-	m.listBytes(n, callHead+len(call.Query()))
-	m.second().calls++
+	m.countListBytes(n, requestOverhead+len(call.Query()))
+	m.currentSecond().polls++
 }
 
-func (n *hnode) hangup() {
+func (n *hollowNode) cancelPoll() {
 	if n.callID != 0 {
-		n.m.registry.CancelCall(n.m.now, n.callID)
-		n.m.wakeRegistry()
+		n.sim.registry.CancelCall(n.sim.now, n.callID)
+		n.sim.wakeRegistry()
 		n.callID = 0
 	}
 }
 
-func (n *hnode) callFailed(call discovery.Poll) {
-	if n.watcher.Failed(n.m.now, call) && n.cfg.Settings.EndpointsOnDemand {
+func (n *hollowNode) pollFailed(call discovery.Poll) {
+	if n.watcher.Failed(n.sim.now, call) && n.cfg.Settings.EndpointsOnDemand {
 		n.handle(balancer.EndpointUpdate{Kind: balancer.FailedUpdate})
 	}
 	if n.callID == 0 {
-		n.poll()
+		n.startPoll()
 	}
 }
 
 // told takes the end of a call.
-func (n *hnode) told(a model.Response) {
-	m := n.m
+func (n *hollowNode) pollEnded(a model.Response) {
+	m := n.sim
 	if n.dead || a.CallID != n.callID {
 		return
 	}
-	call := n.call
+	call := n.poll
 	n.callID = 0
 	if a.Outcome != model.Served {
-		n.callFailed(call)
+		n.pollFailed(call)
 		return
 	}
-	m.listBytes(n, len(a.Body))
+	m.countListBytes(n, len(a.Body))
 	if a.Snapshot {
-		m.second().whole++
+		m.currentSecond().snapshots++
 	}
 	l, err := m.decode(a.Body)
 	if err != nil {
-		m.broke("a list cannot be read: %v", err)
-		n.callFailed(call)
+		m.violation("a list cannot be read: %v", err)
+		n.pollFailed(call)
 		return
 	}
 	if n.watcher.Succeeded(m.now, call, l) {
-		n.follow(l, l.Kind())
+		n.applyUpdate(l, l.Kind())
 	}
 	if n.callID == 0 {
-		n.poll()
+		n.startPoll()
 	}
 }
 
 // ask does what the module wants where lists are asked for.
-func (n *hnode) ask(fetch, watch bool) {
-	if n.watcher.Request(n.m.now, fetch, watch) {
-		n.hangup()
+func (n *hollowNode) requestPoll(fetch, watch bool) {
+	if n.watcher.Request(n.sim.now, fetch, watch) {
+		n.cancelPoll()
 	}
-	n.later(n.m.now, func() {
+	n.schedule(n.sim.now, func() {
 		if n.callID == 0 {
-			n.poll()
+			n.startPoll()
 		}
 	})
 }
 
 // kill ends the node at once, and has it back after its time away.
-func (n *hnode) kill() {
+func (n *hollowNode) kill() {
 	if n.dead {
 		return
 	}
-	m := n.m
-	n.hangup()
+	m := n.sim
+	n.cancelPoll()
 	n.dead, n.diedAt = true, m.now
-	n.pool.end()
-	for _, r := range m.inOrder(n.requests) {
+	n.pool.closeAll()
+	for _, r := range m.sortedRequests(n.requests) {
 		for _, a := range r.attempts {
 			a.abort()
 		}
-		if !r.done {
-			r.done = true
-			r.client.ended(failed, 0) // its connection is reset
+		if !r.answered {
+			r.answered = true
+			r.client.tryEnded(tryFailed, 0) // its connection is reset
 		}
 	}
 	n.requests = nil
-	m.at(m.now+m.s.Fleet.Restart.Std(), func() {
-		next, err := m.newNode(n.index, n.life+1, m.known())
+	m.schedule(m.now+m.scenario.Fleet.RestartTime.Std(), func() {
+		next, err := m.newNode(n.index, n.incarnation+1, m.knownList())
 		if err != nil {
 			panic(fmt.Sprintf("hollow: a configuration that was taken before: %v", err))
 		}
 		m.nodes[n.index] = next
-		next.run()
+		next.start()
 	})
 }
 
 // leave ends the node in order: clients go elsewhere at once, what it has
 // taken is answered before it is killed.
-func (n *hnode) leave() {
-	if n.dead || n.leaving {
+func (n *hollowNode) shutDown() {
+	if n.dead || n.draining {
 		return
 	}
-	m := n.m
+	m := n.sim
 	longest := time.Duration(0)
 	for _, c := range n.cfg.Settings.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	end := m.now + min(longest, longestHeld) + killSlack
-	n.leaving, n.ends = true, end-endSlack
-	for _, r := range m.inOrder(n.requests) {
-		if !r.done && n.ends < r.deadline {
-			r.deadline = n.ends
-			n.guard(r, n.ends)
+	end := m.now + min(longest, maxDeadlineWait) + killSlack
+	n.draining, n.answerBy = true, end-answerLead
+	for _, r := range m.sortedRequests(n.requests) {
+		if !r.answered && n.answerBy < r.deadline {
+			r.deadline = n.answerBy
+			n.answerAtDeadline(r, n.answerBy)
 		}
 	}
-	m.at(end, n.kill)
+	m.schedule(end, n.kill)
 }
--- a/internal/lab/hollow/scenarios_test.go
+++ b/internal/lab/hollow/scenarios_test.go
@@ -27,8 +27,8 @@
 		if s.Name != "ordinary-small" {
 			continue
 		}
-		if r := play(t, s); len(r.Broken) > 0 || r.Scenario != s.Name || r.Requests.Served == 0 {
-			t.Errorf("%s: broken %q", f, r.Broken)
+		if r := play(t, s); len(r.Violations) > 0 || r.Scenario != s.Name || r.Requests.Served == 0 {
+			t.Errorf("%s: broken %q", f, r.Violations)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	maxAnswer = 64 << 10                                                // bytes of a body, by the protocol
-	body      = "x=1&filler=0123456789abcdef0123456789abcdef0123456789" // of a POST
+	maxBodyBytes = 64 << 10                                                // bytes of a body, by the protocol
+	requestBody  = "x=1&filler=0123456789abcdef0123456789abcdef0123456789" // of a POST
 )
 
 // host is the clients' connections to one node.
-type host struct {
+type nodeConns struct {
 	mu      sync.Mutex
 	idle    []*conn // the one used last comes last
 	open    int     // idle, in use or being dialled
@@ -38,20 +38,20 @@
 	used    bool // it has carried a request
 }
 
-func (p *player) host(i int) *host {
+func (p *player) connsOf(i int) *nodeConns {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[i]
+	h := p.conns[i]
 	if h == nil {
-		h = &host{}
-		p.hosts[i] = h
+		h = &nodeConns{}
+		p.conns[i] = h
 	}
 	return h
 }
 
 // close ends the connections that are kept.
 func (p *player) close() {
-	for _, h := range p.hosts {
+	for _, h := range p.conns {
 		for _, c := range h.idle {
 			c.Close()
 		}
@@ -60,12 +60,12 @@
 
 // take gives a connection that carries nothing, and opens one where there is
 // none. With as many as may be open all busy it waits for one.
-func (p *player) take(ctx context.Context, h *host, address string, fresh bool) (*conn, error) {
+func (p *player) take(ctx context.Context, h *nodeConns, address string, fresh bool) (*conn, error) {
 	h.mu.Lock()
 	for !fresh && len(h.idle) > 0 {
 		c := h.idle[len(h.idle)-1]
 		h.idle = h.idle[:len(h.idle)-1]
-		if c.address == address && c.quiet() {
+		if c.address == address && c.idleAndOpen() {
 			h.mu.Unlock()
 			return c, nil
 		}
@@ -81,7 +81,7 @@
 		p.mu.Unlock()
 		select {
 		case c := <-turn:
-			if c != nil && c.address == address && c.quiet() {
+			if c != nil && c.address == address && c.idleAndOpen() {
 				return c, nil
 			}
 			if c != nil {
@@ -89,7 +89,7 @@
 			}
 			return p.dial(ctx, h, address) // the place in open is handed over with c
 		case <-ctx.Done():
-			h.leave(turn)
+			h.abandonWait(turn)
 			return nil, ctx.Err()
 		}
 	}
@@ -98,10 +98,10 @@
 	return p.dial(ctx, h, address)
 }
 
-func (p *player) dial(ctx context.Context, h *host, address string) (*conn, error) {
+func (p *player) dial(ctx context.Context, h *nodeConns, address string) (*conn, error) {
 	nc, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", address)
 	if err != nil {
-		h.give(nil)
+		h.put(nil)
 		return nil, err
 	}
 	p.mu.Lock()
@@ -112,7 +112,7 @@
 
 // give takes back a connection that may carry another request, or the place of
 // one that may not (nil).
-func (h *host) give(c *conn) {
+func (h *nodeConns) put(c *conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.waiting) > 0 {
@@ -128,7 +128,7 @@
 }
 
 // leave gives up a wait; what came in the meantime goes to the next.
-func (h *host) leave(turn chan *conn) {
+func (h *nodeConns) abandonWait(turn chan *conn) {
 	h.mu.Lock()
 	i := slices.Index(h.waiting, turn)
 	if i >= 0 {
@@ -136,13 +136,13 @@
 	}
 	h.mu.Unlock()
 	if i < 0 {
-		h.give(<-turn)
+		h.put(<-turn)
 	}
 }
 
 // quiet says that the other side has neither closed the connection nor said
 // anything on it since its last answer.
-func (c *conn) quiet() bool {
+func (c *conn) idleAndOpen() bool {
 	if c.read.Buffered() > 0 {
 		return false
 	}
@@ -169,9 +169,9 @@
 }
 
 // request sees one request through all of its tries.
-func (p *player) request(ctx context.Context, n int, r *Request, handed time.Time) Outcome {
+func (p *player) play(ctx context.Context, n int, r *Request, handed time.Time) Result {
 	intended := p.start.Add(r.At)
-	o := Outcome{Late: handed.Sub(intended), Added: -1}
+	o := Result{SendDelay: handed.Sub(intended), Added: -1}
 	gone := handed.Add(r.Deadline) // when the client stops waiting
 	ctx, cancel := context.WithDeadline(ctx, gone.Add(p.Slack))
 	defer cancel()
@@ -186,19 +186,19 @@
 		o.Status, o.Err = a.status, err
 		switch {
 		case a.status == http.StatusOK:
-			o.Ending, o.Latency = Served, a.at.Sub(intended)
-			if a.held > 0 && o.Tries == 1 {
-				o.Added = max(0, a.at.Sub(began)-a.held)
+			o.Outcome, o.Latency = Served, a.at.Sub(intended)
+			if a.serviceTime > 0 && o.Tries == 1 {
+				o.Added = max(0, a.at.Sub(began)-a.serviceTime)
 			}
 			return o
 		case errors.Is(ctx.Err(), context.DeadlineExceeded), errors.Is(err, os.ErrDeadlineExceeded):
-			o.Ending = Lost
+			o.Outcome = Lost
 			return o
 		case a.status == http.StatusTooManyRequests || a.status == http.StatusServiceUnavailable:
-			o.Ending = Refused
+			o.Outcome = Rejected
 		default:
-			o.Ending = Failed
-			if !r.Repeat && !errors.Is(err, errUnreachable) {
+			o.Outcome = Failed
+			if !r.RetryOnFailure && !errors.Is(err, errUnreachable) {
 				return o
 			}
 		}
@@ -221,26 +221,26 @@
 var errUnreachable = errors.New("no node there")
 
 // answer is what a node said.
-type answer struct {
-	status     int
-	at         time.Time // its last byte
-	retryAfter time.Duration
-	held       time.Duration // by the server, as it says; 0: it does not
+type response struct {
+	status      int
+	at          time.Time // its last byte
+	retryAfter  time.Duration
+	serviceTime time.Duration // by the server, as it says; 0: it does not
 }
 
 // try sends a request once, and once more where the node closed a kept
 // connection as it went out. One that is unsafe is not: its client could not
 // tell such a close from a node that died with the request read.
-func (p *player) try(ctx context.Context, r *Request, id string, gone time.Time, number int) (answer, error) {
+func (p *player) try(ctx context.Context, r *Request, id string, gone time.Time, number int) (response, error) {
 	node, address := p.Route(r, number)
 	if address == "" {
-		return answer{}, errUnreachable
+		return response{}, errUnreachable
 	}
-	h := p.host(node)
+	h := p.connsOf(node)
 	for fresh := false; ; fresh = true {
 		c, err := p.take(ctx, h, address, fresh)
 		if err != nil {
-			return answer{}, fmt.Errorf("%w: %w", errUnreachable, err)
+			return response{}, fmt.Errorf("%w: %w", errUnreachable, err)
 		}
 		kept := c.used
 		a, began, keep, err := p.exchange(ctx, c, r, id, gone, number > 0)
@@ -248,8 +248,8 @@
 			c.Close()
 			c = nil
 		}
-		h.give(c)
-		if err != nil && kept && !began && !fresh && r.Effect != Unsafe && ctx.Err() == nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+		h.put(c)
+		if err != nil && kept && !began && !fresh && r.Idempotency != NotIdempotent && ctx.Err() == nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			continue
 		}
 		return a, err
@@ -258,7 +258,7 @@
 
 // exchange sends a request on c and reads its answer. It tells whether an
 // answer began and whether c can carry another.
-func (p *player) exchange(ctx context.Context, c *conn, r *Request, id string, gone time.Time, again bool) (a answer, began, keep bool, err error) {
+func (p *player) exchange(ctx context.Context, c *conn, r *Request, id string, gone time.Time, again bool) (a response, began, keep bool, err error) {
 	c.used = true
 	until, _ := ctx.Deadline()
 	c.SetDeadline(until)
@@ -274,7 +274,7 @@
 			keep = false // the deadline may still be set on it
 		}
 	}()
-	if _, err := c.Write(head(c.address, r, id, time.Until(gone), p.MarkRetries && again)); err != nil {
+	if _, err := c.Write(encodeRequest(c.address, r, id, time.Until(gone), p.MarkRetries && again)); err != nil {
 		return a, false, false, fmt.Errorf("sending: %w", err)
 	}
 	if _, err := c.read.Peek(1); err != nil {
@@ -284,22 +284,22 @@
 	if err != nil {
 		return a, true, false, fmt.Errorf("reading the answer: %w", err)
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswer+1))
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyBytes+1))
 	if err != nil {
 		return a, true, false, fmt.Errorf("reading the answer: %w", err)
 	}
-	if n > maxAnswer {
+	if n > maxBodyBytes {
 		return a, true, false, errors.New("the answer is too long")
 	}
-	a = answer{status: resp.StatusCode, at: time.Now(), retryAfter: seconds(resp.Header.Get("Retry-After"))}
-	if p.ServerTime != "" {
-		a.held = seconds(resp.Header.Get(p.ServerTime))
+	a = response{status: resp.StatusCode, at: time.Now(), retryAfter: parseSeconds(resp.Header.Get("Retry-After"))}
+	if p.ServiceTimeHeader != "" {
+		a.serviceTime = parseSeconds(resp.Header.Get(p.ServiceTimeHeader))
 	}
 	return a, true, !resp.Close, nil
 }
 
 // seconds reads a time in seconds; 0 where there is none.
-func seconds(s string) time.Duration {
+func parseSeconds(s string) time.Duration {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || !(v > 0) || v > time.Hour.Seconds() {
 		return 0
@@ -308,10 +308,10 @@
 }
 
 // head is the request as it goes over the wire, body included.
-func head(host string, r *Request, id string, left time.Duration, marked bool) []byte {
+func encodeRequest(host string, r *Request, id string, left time.Duration, marked bool) []byte {
 	var b strings.Builder
 	method := "POST"
-	if r.Effect == Safe {
+	if r.Idempotency == Idempotent {
 		method = "GET"
 	}
 	fmt.Fprintf(&b, "%s /api/%s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline: %.3f\r\n",
@@ -319,7 +319,7 @@
 	if r.Tenant != "" {
 		fmt.Fprintf(&b, "X-Tenant: %s\r\n", r.Tenant)
 	}
-	if r.Effect == Keyed {
+	if r.Idempotency == IdempotentByKey {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", r.Key)
 	}
 	if marked {
@@ -328,10 +328,10 @@
 	for _, h := range r.Header {
 		fmt.Fprintf(&b, "%s: %s\r\n", h[0], h[1])
 	}
-	if r.Effect == Safe {
+	if r.Idempotency == Idempotent {
 		b.WriteString("\r\n")
 	} else {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", len(body), body)
+		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", len(requestBody), requestBody)
 	}
 	return []byte(b.String())
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -18,52 +18,52 @@
 
 // Effect says what a second execution of a request would do; it sets the
 // method and whether a key is sent.
-type Effect int
+type Idempotency int
 
 const (
-	Safe   Effect = iota // GET
-	Keyed                // POST with Idempotency-Key
-	Unsafe               // POST without
+	Idempotent      Idempotency = iota // GET
+	IdempotentByKey                    // POST with Idempotency-Key
+	NotIdempotent                      // POST without
 )
 
 // Request is one request of a stream.
 type Request struct {
-	At       time.Duration // intended time of sending, since the start
-	Node     int           // to which a client's connection was dealt out
-	ID       string        // of the first try; further ones are told apart by a suffix
-	Class    string
-	Effect   Effect
-	Subject  string // the path's last part
-	Tenant   string // "": none
-	Key      string // Idempotency-Key of a keyed one
-	Deadline time.Duration
-	Repeat   bool        // a client may try again after a failure too
-	Header   [][2]string // further headers, as for a stand-in
+	At             time.Duration // intended time of sending, since the start
+	Node           int           // to which a client's connection was dealt out
+	ID             string        // of the first try; further ones are told apart by a suffix
+	Class          string
+	Idempotency    Idempotency
+	Subject        string // the path's last part
+	Tenant         string // "": none
+	Key            string // Idempotency-Key of a keyed one
+	Deadline       time.Duration
+	RetryOnFailure bool        // a client may try again after a failure too
+	Header         [][2]string // further headers, as for a stand-in
 }
 
 // Ending is how a request ended for its client, after all of its tries.
-type Ending int
+type Outcome int
 
 const (
-	Served  Ending = iota
-	Refused        // 429 or 503, and no further try
-	Failed         // any other answer, or a connection that broke or did not come up
-	Lost           // nothing by the deadline and its slack
+	Served   Outcome = iota
+	Rejected         // 429 or 503, and no further try
+	Failed           // any other answer, or a connection that broke or did not come up
+	Lost             // nothing by the deadline and its slack
 )
 
-func (e Ending) String() string {
+func (e Outcome) String() string {
 	return [...]string{"served", "refused", "failed", "lost"}[e]
 }
 
 // Outcome is what became of a request.
-type Outcome struct {
-	Ending
-	Latency time.Duration // from the intended time of the first try to the end of the answer; when served
-	Late    time.Duration // by which the first try was late in being handed out
-	Added   time.Duration // when served at the first try: from its handing out to the answer, less the server's account; <0: none
-	Tries   int
-	Status  int   // of the last answer; 0: none
-	Err     error // why there was none
+type Result struct {
+	Outcome
+	Latency   time.Duration // from the intended time of the first try to the end of the answer; when served
+	SendDelay time.Duration // by which the first try was late in being handed out
+	Added     time.Duration // when served at the first try: from its handing out to the answer, less the server's account; <0: none
+	Tries     int
+	Status    int   // of the last answer; 0: none
+	Err       error // why there was none
 }
 
 // Config says how to play a stream. Route is needed; the rest has defaults.
@@ -85,12 +85,12 @@
 	Slack time.Duration
 	// ServerTime names the answer's header in which a stand-in server says how
 	// long it had the request, in seconds. "": nothing is told.
-	ServerTime string
+	ServiceTimeHeader string
 	// LateBound is how late the 99th percentile of sends may be before the run
 	// is void. 0: DefaultLateBound.
-	LateBound time.Duration
+	MaxSendDelay time.Duration
 	// Done is told of each request's end, from many goroutines. May be nil.
-	Done func(i int, r *Request, o Outcome)
+	Done func(i int, r *Request, o Result)
 }
 
 const (
@@ -98,24 +98,24 @@
 	// clients: half of those that it does not keep for itself.
 	DefaultConnections = 400
 	// DefaultLateBound is under a quarter of the 4.6 ms that a node may add.
-	DefaultLateBound = time.Millisecond
+	DefaultMaxSendDelay = time.Millisecond
 	// MostRequests bounds a run: an hour at 1,000 a second.
-	MostRequests = 3_600_000
+	MaxRequests = 3_600_000
 	// MostTime bounds a run's length.
-	MostTime = time.Hour
+	MaxDuration = time.Hour
 
 	retrySlack = 20 * time.Millisecond // a try with less than this left is not made
 )
 
 // Report is what a stream came to.
 type Report struct {
-	Offered, Served, Refused, Failed, Lost, Tries int
-	Dials                                         int                                // connections that came up
-	Waited                                        int                                // requests that found all connections to their node busy
-	Latency                                       map[string]*hdrhistogram.Histogram // ns, by class, and "all"
-	Added                                         *hdrhistogram.Histogram            // ns
-	Late                                          *hdrhistogram.Histogram            // ns, of all sends
-	Broken                                        []string                           // why the run is void; empty: it is not
+	Offered, Served, Rejected, Failed, Lost, Tries int
+	Dials                                          int                                // connections that came up
+	Waited                                         int                                // requests that found all connections to their node busy
+	Latency                                        map[string]*hdrhistogram.Histogram // ns, by class, and "all"
+	Added                                          *hdrhistogram.Histogram            // ns
+	SendDelay                                      *hdrhistogram.Histogram            // ns, of all sends
+	Violations                                     []string                           // why the run is void; empty: it is not
 }
 
 // NewHistogram makes one for times up to a minute, to three digits, in ns.
@@ -123,7 +123,7 @@
 	return hdrhistogram.New(1, time.Minute.Nanoseconds(), 3)
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
 	h.RecordValue(min(max(d.Nanoseconds(), 1), time.Minute.Nanoseconds())) // within bounds: never fails
 }
 
@@ -134,32 +134,32 @@
 	if c.Route == nil {
 		return nil, errors.New("load: no route to the nodes")
 	}
-	if len(stream) > MostRequests {
-		return nil, fmt.Errorf("load: %d requests, at most %d are played", len(stream), MostRequests)
+	if len(stream) > MaxRequests {
+		return nil, fmt.Errorf("load: %d requests, at most %d are played", len(stream), MaxRequests)
 	}
 	for i := range stream {
-		if r := &stream[i]; r.At < 0 || r.At > MostTime || i > 0 && r.At < stream[i-1].At || r.Deadline <= 0 {
+		if r := &stream[i]; r.At < 0 || r.At > MaxDuration || i > 0 && r.At < stream[i-1].At || r.Deadline <= 0 {
 			return nil, fmt.Errorf("load: request %d at %v with deadline %v: out of order or bounds", i, r.At, r.Deadline)
 		}
 	}
 	if c.Connections <= 0 {
 		c.Connections = DefaultConnections
 	}
-	if c.LateBound <= 0 {
-		c.LateBound = DefaultLateBound
+	if c.MaxSendDelay <= 0 {
+		c.MaxSendDelay = DefaultMaxSendDelay
 	}
-	p := &player{Config: c, hosts: map[int]*host{}, report: &Report{Latency: map[string]*hdrhistogram.Histogram{"all": NewHistogram()},
-		Added: NewHistogram(), Late: NewHistogram()}}
+	p := &player{Config: c, conns: map[int]*nodeConns{}, report: &Report{Latency: map[string]*hdrhistogram.Histogram{"all": NewHistogram()},
+		Added: NewHistogram(), SendDelay: NewHistogram()}}
 	defer p.close()
 	p.start = time.Now()
 	var running sync.WaitGroup
-	err := paced(ctx, p.start, len(stream), func(i int) time.Duration { return stream[i].At }, func(i int) {
+	err := sendPaced(ctx, p.start, len(stream), func(i int) time.Duration { return stream[i].At }, func(i int) {
 		handed := time.Now()
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			o := p.request(ctx, i, &stream[i], handed)
-			p.note(&stream[i], o)
+			o := p.play(ctx, i, &stream[i], handed)
+			p.record(&stream[i], o)
 			if c.Done != nil {
 				c.Done(i, &stream[i], o)
 			}
@@ -172,7 +172,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("load: %w", err)
 	}
-	p.judge()
+	p.checkSendDelay()
 	return p.report, nil
 }
 
@@ -183,31 +183,31 @@
 
 	mu     sync.Mutex
 	report *Report
-	hosts  map[int]*host
+	conns  map[int]*nodeConns
 }
 
-func (p *player) note(r *Request, o Outcome) {
+func (p *player) record(r *Request, o Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.report
 	c.Offered++
 	c.Tries += o.Tries
-	record(c.Late, o.Late)
-	switch o.Ending {
+	recordDuration(c.SendDelay, o.SendDelay)
+	switch o.Outcome {
 	case Served:
 		c.Served++
-		record(c.Latency["all"], o.Latency)
+		recordDuration(c.Latency["all"], o.Latency)
 		h := c.Latency[r.Class]
 		if h == nil {
 			h = NewHistogram()
 			c.Latency[r.Class] = h
 		}
-		record(h, o.Latency)
+		recordDuration(h, o.Latency)
 		if o.Added >= 0 {
-			record(c.Added, o.Added)
+			recordDuration(c.Added, o.Added)
 		}
-	case Refused:
-		c.Refused++
+	case Rejected:
+		c.Rejected++
 	case Failed:
 		c.Failed++
 	case Lost:
@@ -216,9 +216,9 @@
 }
 
 // judge says whether the generator itself spoilt the run.
-func (p *player) judge() {
-	if late := time.Duration(p.report.Late.ValueAtQuantile(99)); late > p.LateBound {
-		p.report.Broken = append(p.report.Broken, fmt.Sprintf(
-			"the generator was late: %v at the 99th percentile, at most %v is allowed", late, p.LateBound))
+func (p *player) checkSendDelay() {
+	if late := time.Duration(p.report.SendDelay.ValueAtQuantile(99)); late > p.MaxSendDelay {
+		p.report.Violations = append(p.report.Violations, fmt.Sprintf(
+			"the generator was late: %v at the 99th percentile, at most %v is allowed", late, p.MaxSendDelay))
 	}
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -43,12 +43,12 @@
 
 func play(t *testing.T, c Config, s []Request) *Report {
 	t.Helper()
-	c.LateBound = enough // the machine may be busy: lateness has a test of its own
+	c.MaxSendDelay = enough // the machine may be busy: lateness has a test of its own
 	r, err := Play(t.Context(), c, s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Offered != len(s) || r.Served+r.Refused+r.Failed+r.Lost != len(s) {
+	if r.Offered != len(s) || r.Served+r.Rejected+r.Failed+r.Lost != len(s) {
 		t.Errorf("%d requests ended as %+v", len(s), r)
 	}
 	return r
@@ -103,8 +103,8 @@
 			r.Header.Get("X-Deadline")[:2], len(b) > 0)
 	})
 	s := stream(3, 0, nil)
-	s[1].Effect, s[1].Key, s[1].Tenant = Keyed, "k-1", "t-1"
-	s[2].Effect, s[2].Class, s[2].Header = Unsafe, "pay", [][2]string{{"X-Work", "7"}}
+	s[1].Idempotency, s[1].Key, s[1].Tenant = IdempotentByKey, "k-1", "t-1"
+	s[2].Idempotency, s[2].Class, s[2].Header = NotIdempotent, "pay", [][2]string{{"X-Work", "7"}}
 	play(t, Config{Route: address}, s)
 	for id, want := range map[string]string{
 		"q-0": "GET /api/u HTTP/1.1 read t= k= h= d=%s body=false",
@@ -136,7 +136,7 @@
 	})
 	began := time.Now()
 	r := play(t, Config{Route: address, Retries: 2, Backoff: 20 * time.Millisecond, MarkRetries: true}, stream(1, 0, nil))
-	if took := time.Since(began); r.Refused != 1 || r.Tries != 3 || marks != 2 || !slices.Equal(ids, []string{"q-0", "q-0-1", "q-0-2"}) ||
+	if took := time.Since(began); r.Rejected != 1 || r.Tries != 3 || marks != 2 || !slices.Equal(ids, []string{"q-0", "q-0-1", "q-0-2"}) ||
 		took < 70*time.Millisecond {
 		t.Errorf("%+v with %v, %d marked, in %v", r, ids, marks, took)
 	}
@@ -155,18 +155,18 @@
 		name  string
 		gone  bool // the first node
 		again bool
-		ends  Ending
+		ends  Outcome
 		tries int
 	}{{"no node", true, false, Served, 2}, {"safe", false, true, Served, 2}, {"unsafe", false, false, Failed, 1}} {
-		s := stream(1, 0, func(r *Request) { r.Repeat = c.again })
-		var o Outcome
+		s := stream(1, 0, func(r *Request) { r.RetryOnFailure = c.again })
+		var o Result
 		play(t, Config{Retries: 1, MarkRetries: true, Route: func(r *Request, try int) (int, string) {
 			if c.gone && try == 0 {
 				return 1, "127.0.0.1:1"
 			}
 			return address(r, try)
-		}, Done: func(_ int, _ *Request, got Outcome) { o = got }}, s)
-		if o.Ending != c.ends || o.Tries != c.tries {
+		}, Done: func(_ int, _ *Request, got Result) { o = got }}, s)
+		if o.Outcome != c.ends || o.Tries != c.tries {
 			t.Errorf("%s: %+v, want %s after %d tries", c.name, o, c.ends, c.tries)
 		}
 	}
@@ -189,25 +189,25 @@
 		}
 	})
 	var mu sync.Mutex
-	got := map[string]Outcome{}
+	got := map[string]Result{}
 	s := stream(6, 0, nil)
 	for i, class := range []string{"502", "429", "torn", "mute", "told", "nobody"} {
 		s[i].Class = class
 	}
 	s[3].Deadline = 50 * time.Millisecond
 	s[5].Node = 1
-	r := play(t, Config{ServerTime: "X-Held", Route: func(r *Request, try int) (int, string) {
+	r := play(t, Config{ServiceTimeHeader: "X-Held", Route: func(r *Request, try int) (int, string) {
 		if r.Node == 1 {
 			return 1, "127.0.0.1:1"
 		}
 		return address(r, try)
-	}, Done: func(i int, r *Request, o Outcome) {
+	}, Done: func(i int, r *Request, o Result) {
 		mu.Lock()
 		defer mu.Unlock()
 		got[r.Class] = o
 	}}, s)
-	for class, want := range map[string]Ending{"502": Failed, "429": Refused, "torn": Failed, "mute": Lost, "told": Served, "nobody": Failed} {
-		if o := got[class]; o.Ending != want || (o.Err != nil) != (class == "torn" || class == "mute" || class == "nobody") {
+	for class, want := range map[string]Outcome{"502": Failed, "429": Rejected, "torn": Failed, "mute": Lost, "told": Served, "nobody": Failed} {
+		if o := got[class]; o.Outcome != want || (o.Err != nil) != (class == "torn" || class == "mute" || class == "nobody") {
 			t.Errorf("%s: %+v, want %s", class, o, want)
 		}
 	}
@@ -245,19 +245,19 @@
 		}
 	}()
 	for _, c := range []struct {
-		effect Effect
-		ending Ending
+		effect Idempotency
+		ending Outcome
 		dials  int
-	}{{Safe, Served, 2}, {Keyed, Served, 2}, {Unsafe, Failed, 1}} {
+	}{{Idempotent, Served, 2}, {IdempotentByKey, Served, 2}, {NotIdempotent, Failed, 1}} {
 		first := make(chan struct{})
-		s := stream(2, 150*time.Millisecond, func(r *Request) { r.Effect = c.effect })
-		var last Ending
-		r := play(t, Config{Route: to(ln.Addr().String()), Done: func(i int, _ *Request, o Outcome) {
+		s := stream(2, 150*time.Millisecond, func(r *Request) { r.Idempotency = c.effect })
+		var last Outcome
+		r := play(t, Config{Route: to(ln.Addr().String()), Done: func(i int, _ *Request, o Result) {
 			if i == 0 {
 				close(first)
 			} else {
 				<-first
-				last = o.Ending
+				last = o.Outcome
 			}
 		}}, s)
 		if last != c.ending || r.Dials != c.dials {
@@ -268,18 +268,18 @@
 
 // TestSaysThatItWasLate: such a run is void.
 func TestSaysThatItWasLate(t *testing.T) {
-	p := &player{Config: Config{LateBound: time.Millisecond}, report: &Report{Late: NewHistogram()}}
+	p := &player{Config: Config{MaxSendDelay: time.Millisecond}, report: &Report{SendDelay: NewHistogram()}}
 	for range 100 {
-		record(p.report.Late, 500*time.Microsecond)
+		recordDuration(p.report.SendDelay, 500*time.Microsecond)
 	}
-	if p.judge(); len(p.report.Broken) != 0 {
-		t.Errorf("in time, yet %q", p.report.Broken)
+	if p.checkSendDelay(); len(p.report.Violations) != 0 {
+		t.Errorf("in time, yet %q", p.report.Violations)
 	}
 	for range 10 {
-		record(p.report.Late, 2*time.Millisecond)
+		recordDuration(p.report.SendDelay, 2*time.Millisecond)
 	}
-	if p.judge(); len(p.report.Broken) != 1 || !strings.Contains(p.report.Broken[0], "late") {
-		t.Errorf("late, and %q", p.report.Broken)
+	if p.checkSendDelay(); len(p.report.Violations) != 1 || !strings.Contains(p.report.Violations[0], "late") {
+		t.Errorf("late, and %q", p.report.Violations)
 	}
 }
 
@@ -297,7 +297,7 @@
 func TestBounds(t *testing.T) {
 	address := to("")
 	for _, s := range [][]Request{
-		stream(2, -1, nil), stream(1, 0, func(r *Request) { r.Deadline = 0 }), stream(2, 2*MostTime, nil), make([]Request, MostRequests+1),
+		stream(2, -1, nil), stream(1, 0, func(r *Request) { r.Deadline = 0 }), stream(2, 2*MaxDuration, nil), make([]Request, MaxRequests+1),
 	} {
 		if _, err := Play(t.Context(), Config{Route: address}, s); err == nil {
 			t.Errorf("%d requests are played", len(s))
--- a/internal/lab/load/pace.go
+++ b/internal/lab/load/pace.go
@@ -17,7 +17,7 @@
 
 // paced calls send(i) at start+at(i) for i under n, in order, from a thread of
 // its own.
-func paced(ctx context.Context, start time.Time, n int, at func(int) time.Duration, send func(int)) error {
+func sendPaced(ctx context.Context, start time.Time, n int, at func(int) time.Duration, send func(int)) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for i := range n {
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -35,16 +35,16 @@
 	Nodes    int     `json:"nodes"`
 	Servers  int     `json:"servers"`
 
-	Requests Requests           `json:"requests"`
-	Latency  map[string]Latency `json:"latency"` // by class, and "all"; from the intended time of sending to the answer, if it was served
-	Added    Latency            `json:"added"`   // what the node adds to served requests: latency less network and server
-	Control  Control            `json:"control"`
-	Sums     map[string]Sum     `json:"sums"`       // over the fleet, worst second, beside their bounds
-	Falls    int                `json:"falls"`      // cold servers that fell over
-	Recovery float64            `json:"recovery_s"` // from the last event's end until served as before, see Recover; -1: not within the run
-	Windows  []Window           `json:"windows"`    // second by second, warm-up included
-	Events   []string           `json:"events"`     // as struck, with times
-	Broken   []string           `json:"broken"`     // what should have held and did not
+	Requests   Requests           `json:"requests"`
+	Latency    map[string]Latency `json:"latency"` // by class, and "all"; from the intended time of sending to the answer, if it was served
+	Added      Latency            `json:"added"`   // what the node adds to served requests: latency less network and server
+	Control    Control            `json:"control"`
+	Peaks      map[string]Peak    `json:"sums"`       // over the fleet, worst second, beside their bounds
+	Crashes    int                `json:"falls"`      // cold servers that fell over
+	Recovery   float64            `json:"recovery_s"` // from the last event's end until served as before, see Recover; -1: not within the run
+	Windows    []Window           `json:"windows"`    // second by second, warm-up included
+	Events     []string           `json:"events"`     // as struck, with times
+	Violations []string           `json:"broken"`     // what should have held and did not
 
 	Machine Machine `json:"machine"`
 	Cost    Cost    `json:"cost"`
@@ -53,22 +53,22 @@
 // Requests counts by how they ended. A client's request and all its tries are
 // one; it counts where its first try was to be sent, after the warm-up.
 type Requests struct {
-	Offered      int     `json:"offered"`
-	Served       int     `json:"served"`
-	InAim        int     `json:"in_aim"`
-	Refused      int     `json:"refused"`
-	Failed       int     `json:"failed"`
-	Lost         int     `json:"lost"` // no answer by the deadline and its slack
-	Worth        float64 `json:"worth"`
-	ServedWorth  float64 `json:"served_worth"`
-	Tries        int     `json:"tries"` // as the nodes got them
-	Attempts     int     `json:"attempts"`
-	Further      int     `json:"further"`    // attempts after a try's first
-	CrossZone    int     `json:"cross_zone"` // attempts to another zone of the region
-	CrossRegion  int     `json:"cross_region"`
-	Wasted       float64 `json:"wasted"`        // part of the servers' work that no client got
-	InsideShares int     `json:"inside_shares"` // within their tenants' quotas over the fleet
-	InsideServed int     `json:"inside_served"` // of these
+	Offered           int     `json:"offered"`
+	Served            int     `json:"served"`
+	WithinObjective   int     `json:"in_aim"`
+	Rejected          int     `json:"refused"`
+	Failed            int     `json:"failed"`
+	Lost              int     `json:"lost"` // no answer by the deadline and its slack
+	Weight            float64 `json:"worth"`
+	ServedWeight      float64 `json:"served_worth"`
+	Tries             int     `json:"tries"` // as the nodes got them
+	Attempts          int     `json:"attempts"`
+	Retries           int     `json:"further"`    // attempts after a try's first
+	CrossZone         int     `json:"cross_zone"` // attempts to another zone of the region
+	CrossRegion       int     `json:"cross_region"`
+	Wasted            float64 `json:"wasted"`        // part of the servers' work that no client got
+	WithinQuota       int     `json:"inside_shares"` // within their tenants' quotas over the fleet
+	WithinQuotaServed int     `json:"inside_served"` // of these
 }
 
 // Latency is read off a Histogram; seconds.
@@ -111,18 +111,18 @@
 
 // Control is what it takes to know the servers, after the warm-up.
 type Control struct {
-	Calls       int     `json:"calls"`        // of all nodes to discovery
-	Bytes       int64   `json:"bytes"`        // both ways, heads included
-	NodeRate    float64 `json:"node_rate"`    // bytes/s, mean node
-	WorstRate   float64 `json:"worst_rate"`   // bytes/s, worst node over the run
-	WorstSecond int64   `json:"worst_second"` // bytes of all nodes in their worst second
-	Lists       int     `json:"lists"`        // whole ones
-	Changes     int     `json:"changes"`      // versions of the list, struck by the scenario
-	Told        Latency `json:"told"`         // from a change to a node's knowing of it
+	Calls        int     `json:"calls"`        // of all nodes to discovery
+	Bytes        int64   `json:"bytes"`        // both ways, heads included
+	NodeRate     float64 `json:"node_rate"`    // bytes/s, mean node
+	WorstRate    float64 `json:"worst_rate"`   // bytes/s, worst node over the run
+	WorstSecond  int64   `json:"worst_second"` // bytes of all nodes in their worst second
+	Snapshots    int     `json:"lists"`        // whole ones
+	Changes      int     `json:"changes"`      // versions of the list, struck by the scenario
+	Notification Latency `json:"told"`         // from a change to a node's knowing of it
 }
 
 // Sum is a quantity that must be bounded over the fleet, in its worst second.
-type Sum struct {
+type Peak struct {
 	Worst float64 `json:"worst"`
 	Bound float64 `json:"bound"` // of that second; 0: none is stated
 	At    float64 `json:"at"`    // s, since the start of the traffic
@@ -130,22 +130,22 @@
 
 // Take keeps a second's value if it is worse: further beyond its bound, or
 // larger where none is stated.
-func (s *Sum) Take(worst, bound float64, at time.Duration) {
+func (s *Peak) Take(worst, bound float64, at time.Duration) {
 	// Products, as a bound may be 0.
 	if worst > 0 && (s.Worst == 0 || worst*max(s.Bound, 1e-9) > s.Worst*max(bound, 1e-9)) {
-		*s = Sum{worst, bound, at.Seconds()}
+		*s = Peak{worst, bound, at.Seconds()}
 	}
 }
 
 // Window is one second. Requests count where their first try was to be sent.
 type Window struct {
-	Offered     int     `json:"offered"`
-	Served      int     `json:"served"`
-	Refused     int     `json:"refused"`
-	Failed      int     `json:"failed"` // lost ones too
-	Attempts    int     `json:"attempts"`
-	Worth       float64 `json:"worth"`
-	ServedWorth float64 `json:"served_worth"`
+	Offered      int     `json:"offered"`
+	Served       int     `json:"served"`
+	Rejected     int     `json:"refused"`
+	Failed       int     `json:"failed"` // lost ones too
+	Attempts     int     `json:"attempts"`
+	Weight       float64 `json:"worth"`
+	ServedWeight float64 `json:"served_worth"`
 }
 
 // Machine is where it ran.
@@ -162,17 +162,17 @@
 
 // Cost is what the run took of the machine: never the same twice.
 type Cost struct {
-	Seconds     float64 `json:"seconds"`      // of real time
-	NodeCPU     float64 `json:"node_cpu"`     // seconds of processor time a node and second: real processes, else the module's events
-	NodeMemory  int64   `json:"node_memory"`  // bytes, peak of the largest real node; hollow: heap a node
-	ModuleEvent float64 `json:"module_event"` // seconds a module event, mean; hollow
+	Seconds    float64 `json:"seconds"`      // of real time
+	NodeCPU    float64 `json:"node_cpu"`     // seconds of processor time a node and second: real processes, else the module's events
+	NodeMemory int64   `json:"node_memory"`  // bytes, peak of the largest real node; hollow: heap a node
+	EventTime  float64 `json:"module_event"` // seconds a module event, mean; hollow
 }
 
 // New starts the result of a run of a scenario.
 func New(s *scenario.Scenario, kind string) *Run {
-	return &Run{Scenario: s.Name, Kind: kind, Version: version(), Seed: s.Seed, Seconds: (s.Length - s.Warm).Seconds(),
-		Nodes: s.Fleet.Nodes, Servers: s.Servers.Count, Latency: map[string]Latency{}, Sums: map[string]Sum{},
-		Events: []string{}, Broken: []string{}, Recovery: -1, Machine: ThisMachine()}
+	return &Run{Scenario: s.Name, Kind: kind, Version: version(), Seed: s.Seed, Seconds: (s.Length - s.Warmup).Seconds(),
+		Nodes: s.Fleet.Nodes, Servers: s.Servers.Count, Latency: map[string]Latency{}, Peaks: map[string]Peak{},
+		Events: []string{}, Violations: []string{}, Recovery: -1, Machine: ThisMachine()}
 }
 
 // version is the revision that the build was made from, if it knows.
@@ -195,12 +195,12 @@
 
 // recovered is the part of the worth before the first event that counts as
 // served as before.
-const recovered = 0.9
+const recoveredFraction = 0.9
 
 // Recover finds Recovery in the windows: the first second, not before the last
 // event's end, that and behind which another second serve nine tenths of the
 // part of the worth that was served between warm-up and first event.
-func (r *Run) Recover(s *scenario.Scenario) {
+func (r *Run) FindRecovery(s *scenario.Scenario) {
 	r.Recovery = -1
 	if len(s.Events) == 0 {
 		r.Recovery = 0
@@ -213,18 +213,18 @@
 	part := func(from, to int) float64 {
 		worth, served := 0.0, 0.0
 		for _, w := range r.Windows[max(0, from):min(to, len(r.Windows))] {
-			worth, served = worth+w.Worth, served+w.ServedWorth
+			worth, served = worth+w.Weight, served+w.ServedWeight
 		}
 		if worth == 0 {
 			return 1
 		}
 		return served / worth
 	}
-	from, to := int(s.Warm.Std()/time.Second), int(first/time.Second)
+	from, to := int(s.Warmup.Std()/time.Second), int(first/time.Second)
 	if from >= to {
 		from = 0 // an event in the warm-up leaves only what is before it
 	}
-	want, end := recovered*part(from, to), s.End()
+	want, end := recoveredFraction*part(from, to), s.LastEventEnd()
 	for i := int(end / time.Second); i+1 < len(r.Windows); i++ {
 		if part(i, i+1) >= want && part(i+1, i+2) >= want {
 			r.Recovery = max(0, (time.Duration(i)*time.Second - end).Seconds())
@@ -234,12 +234,14 @@
 }
 
 // Check adds to Broken what the scenario wants to hold and does not.
-func (r *Run) Check(h scenario.Holds) {
-	broken := func(format string, args ...any) { r.Broken = append(r.Broken, "holds: "+fmt.Sprintf(format, args...)) }
-	if part := share(r.Requests.ServedWorth, r.Requests.Worth); h.Served > 0 && part < h.Served {
+func (r *Run) CheckBounds(h scenario.Bounds) {
+	broken := func(format string, args ...any) {
+		r.Violations = append(r.Violations, "holds: "+fmt.Sprintf(format, args...))
+	}
+	if part := ratio(r.Requests.ServedWeight, r.Requests.Weight); h.Served > 0 && part < h.Served {
 		broken("%.4f of the worth is served, want %.4f", part, h.Served)
 	}
-	if a := share(float64(r.Requests.Attempts), float64(r.Requests.Offered)); h.Attempts > 0 && a > h.Attempts {
+	if a := ratio(float64(r.Requests.Attempts), float64(r.Requests.Offered)); h.Attempts > 0 && a > h.Attempts {
 		broken("%.3f attempts a request, want at most %.3f", a, h.Attempts)
 	}
 	if p := r.Latency["all"].P99; h.P99 > 0 && p > h.P99.Seconds() {
@@ -254,12 +256,12 @@
 	if h.Recovery > 0 && (r.Recovery < 0 || r.Recovery > h.Recovery.Seconds()) {
 		broken("recovery took %.0f s (-1: longer than the run), want at most %v", r.Recovery, h.Recovery)
 	}
-	if h.Falls != nil && r.Falls > *h.Falls {
-		broken("%d cold servers fell over, want at most %d", r.Falls, *h.Falls)
+	if h.Crashes != nil && r.Crashes > *h.Crashes {
+		broken("%d cold servers fell over, want at most %d", r.Crashes, *h.Crashes)
 	}
 }
 
-func share(a, b float64) float64 {
+func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
 	}
@@ -284,20 +286,20 @@
 	fmt.Fprintf(t, "%s\t%s, version %s, seed %d\n", r.Scenario, r.Kind, r.Version, r.Seed)
 	fmt.Fprintf(t, "fleet\t%d nodes, %d servers, %.1f s\n", r.Nodes, r.Servers, r.Seconds)
 	fmt.Fprintf(t, "requests\t%d: %.4f served, %.4f in aim, %.4f refused, %.4f failed, %d lost\n", q.Offered,
-		share(float64(q.Served), offered), share(float64(q.InAim), offered), share(float64(q.Refused), offered),
-		share(float64(q.Failed), offered), q.Lost)
-	fmt.Fprintf(t, "worth\t%.4f served; %.4f of the servers' work wasted\n", share(q.ServedWorth, q.Worth), q.Wasted)
-	fmt.Fprintf(t, "attempts\t%.4f a request, %.4f further; %.4f cross zones, %.4f regions\n", share(float64(q.Attempts), offered),
-		share(float64(q.Further), offered), share(float64(q.CrossZone), float64(q.Attempts)), share(float64(q.CrossRegion), float64(q.Attempts)))
-	if q.InsideShares > 0 {
-		fmt.Fprintf(t, "tenants\t%.4f of requests inside shares, of these %.4f served\n", share(float64(q.InsideShares), offered),
-			share(float64(q.InsideServed), float64(q.InsideShares)))
+		ratio(float64(q.Served), offered), ratio(float64(q.WithinObjective), offered), ratio(float64(q.Rejected), offered),
+		ratio(float64(q.Failed), offered), q.Lost)
+	fmt.Fprintf(t, "worth\t%.4f served; %.4f of the servers' work wasted\n", ratio(q.ServedWeight, q.Weight), q.Wasted)
+	fmt.Fprintf(t, "attempts\t%.4f a request, %.4f further; %.4f cross zones, %.4f regions\n", ratio(float64(q.Attempts), offered),
+		ratio(float64(q.Retries), offered), ratio(float64(q.CrossZone), float64(q.Attempts)), ratio(float64(q.CrossRegion), float64(q.Attempts)))
+	if q.WithinQuota > 0 {
+		fmt.Fprintf(t, "tenants\t%.4f of requests inside shares, of these %.4f served\n", ratio(float64(q.WithinQuota), offered),
+			ratio(float64(q.WithinQuotaServed), float64(q.WithinQuota)))
 	}
 	fmt.Fprintf(t, "lists\t%d calls, %.0f bytes/s a node, worst %.0f, worst second %d bytes in all; %d whole, %d changes\n",
-		c.Calls, c.NodeRate, c.WorstRate, c.WorstSecond, c.Lists, c.Changes)
-	fmt.Fprintf(t, "recovery\t%.0f s; %d cold servers fell over\n", r.Recovery, r.Falls)
+		c.Calls, c.NodeRate, c.WorstRate, c.WorstSecond, c.Snapshots, c.Changes)
+	fmt.Fprintf(t, "recovery\t%.0f s; %d cold servers fell over\n", r.Recovery, r.Crashes)
 	fmt.Fprintf(t, "cost\t%.1f s, a node %.4f of a core and %.1f MB, %.1f µs an event\n", r.Cost.Seconds, r.Cost.NodeCPU,
-		float64(r.Cost.NodeMemory)/1e6, r.Cost.ModuleEvent*1e6)
+		float64(r.Cost.NodeMemory)/1e6, r.Cost.EventTime*1e6)
 	fmt.Fprintf(t, "\nms\tcount\tmean\t50 %%\t90 %%\t99 %%\t99.9 %%\tmost\n")
 	line := func(name string, l Latency) {
 		fmt.Fprintf(t, "%s\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\n", name, l.Count, l.Mean*1e3, l.P50*1e3, l.P90*1e3, l.P99*1e3, l.P999*1e3, l.Max*1e3)
@@ -306,18 +308,18 @@
 		line(name, r.Latency[name])
 	}
 	line("added by nodes", r.Added)
-	line("told of changes", c.Told)
-	if len(r.Sums) > 0 {
+	line("told of changes", c.Notification)
+	if len(r.Peaks) > 0 {
 		fmt.Fprintf(t, "\nworst second\tvalue\tbound\tat s\n")
-		for _, name := range slices.Sorted(maps.Keys(r.Sums)) {
-			s := r.Sums[name]
+		for _, name := range slices.Sorted(maps.Keys(r.Peaks)) {
+			s := r.Peaks[name]
 			fmt.Fprintf(t, "%s\t%.2f\t%.2f\t%.0f\n", name, s.Worst, s.Bound, s.At)
 		}
 	}
 	for _, e := range r.Events {
 		fmt.Fprintf(t, "event\t%s\n", e)
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		fmt.Fprintf(t, "BROKEN\t%s\n", b)
 	}
 	if err := t.Flush(); err != nil {
--- a/internal/lab/result/result_test.go
+++ b/internal/lab/result/result_test.go
@@ -28,11 +28,11 @@
 }
 
 func TestRunIsKeptWhole(t *testing.T) {
-	s := &scenario.Scenario{Name: "some", Seed: 3, Length: scenario.Duration(5 * time.Second), Warm: scenario.Duration(time.Second)}
+	s := &scenario.Scenario{Name: "some", Seed: 3, Length: scenario.Duration(5 * time.Second), Warmup: scenario.Duration(time.Second)}
 	r := New(s, Hollow)
 	r.Latency["all"] = Latency{Count: 2, Mean: 0.1, P50: 0.1, P90: 0.2, P99: 0.3, P999: 0.4, Max: 0.5}
-	r.Sums["handshakes"] = Sum{Worst: 5, Bound: 7, At: 2}
-	r.Broken = append(r.Broken, "a rule")
+	r.Peaks["handshakes"] = Peak{Worst: 5, Bound: 7, At: 2}
+	r.Violations = append(r.Violations, "a rule")
 	var b bytes.Buffer
 	if err := r.Write(&b); err != nil {
 		t.Fatal(err)
@@ -49,35 +49,35 @@
 
 func TestRecoverAndCheck(t *testing.T) {
 	second := scenario.Duration(time.Second)
-	s := &scenario.Scenario{Length: 10 * second, Warm: second, Events: []scenario.Event{{At: 3 * second, For: second, Do: "cut"}}}
+	s := &scenario.Scenario{Length: 10 * second, Warmup: second, Events: []scenario.Event{{At: 3 * second, Duration: second, Action: "cut"}}}
 	r := New(s, Hollow)
 	for _, served := range []float64{0, 10, 10, 0, 0, 9.1, 0, 9, 10, 10} {
-		r.Windows = append(r.Windows, Window{Worth: 10, ServedWorth: served})
+		r.Windows = append(r.Windows, Window{Weight: 10, ServedWeight: served})
 	}
-	if r.Recover(s); r.Recovery != 3 {
+	if r.FindRecovery(s); r.Recovery != 3 {
 		t.Errorf("recovery %v s, want 3: the second at 5 s is alone", r.Recovery)
 	}
 	none := 0
-	r.Requests, r.Falls, r.Control = Requests{Offered: 10, Attempts: 12, Worth: 10, ServedWorth: 9}, 1, Control{NodeRate: 5, WorstRate: 9}
+	r.Requests, r.Crashes, r.Control = Requests{Offered: 10, Attempts: 12, Weight: 10, ServedWeight: 9}, 1, Control{NodeRate: 5, WorstRate: 9}
 	r.Latency["all"] = Latency{P99: 0.2}
-	met := scenario.Holds{Served: 0.9, Attempts: 1.2, P99: second / 5, ListRate: 5, WorstListRate: 9, Recovery: 3 * second}
-	if r.Check(met); len(r.Broken) != 0 {
-		t.Errorf("%q", r.Broken)
+	met := scenario.Bounds{Served: 0.9, Attempts: 1.2, P99: second / 5, ListRate: 5, WorstListRate: 9, Recovery: 3 * second}
+	if r.CheckBounds(met); len(r.Violations) != 0 {
+		t.Errorf("%q", r.Violations)
 	}
-	r.Check(scenario.Holds{Served: 0.91, Attempts: 1.1, P99: second / 6, ListRate: 4, WorstListRate: 8, Recovery: 2 * second, Falls: &none})
-	if len(r.Broken) != 7 {
-		t.Errorf("%q, want seven", r.Broken)
+	r.CheckBounds(scenario.Bounds{Served: 0.91, Attempts: 1.1, P99: second / 6, ListRate: 4, WorstListRate: 8, Recovery: 2 * second, Crashes: &none})
+	if len(r.Violations) != 7 {
+		t.Errorf("%q, want seven", r.Violations)
 	}
 }
 
 func TestSumTakesTheWorst(t *testing.T) {
-	var s Sum
+	var s Peak
 	s.Take(5, 10, 1*time.Second)
 	s.Take(6, 20, 2*time.Second)
-	if s != (Sum{5, 10, 1}) {
+	if s != (Peak{5, 10, 1}) {
 		t.Errorf("%+v, want the second nearer to its bound", s)
 	}
-	s = Sum{}
+	s = Peak{}
 	s.Take(5, 0, 1*time.Second)
 	if s.Take(6, 0, 2*time.Second); s.Worst != 6 {
 		t.Errorf("%+v, want the larger one", s)
--- a/internal/lab/scaling/bench.go
+++ b/internal/lab/scaling/bench.go
@@ -41,9 +41,9 @@
 
 // configOf is the configuration of a node of servers/10.
 func configOf(servers, tenants int) ([]byte, error) {
-	s := planned(max(1, servers/10), servers)
+	s := plannedScenario(max(1, servers/10), servers)
 	s.Traffic.Tenants = tenants
-	return s.Config(0, scenario.Told{Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2", Known: listJSON(1, entries(s))})
+	return s.NodeConfig(0, scenario.NodeStart{Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2", KnownList: listJSON(1, entries(s))})
 }
 
 func configuration(ctx context.Context, e *Env) ([]Figure, error) {
@@ -101,7 +101,7 @@
 }
 
 // world is a module with its list and some traffic behind it.
-type world struct {
+type benchBalancer struct {
 	m       *balancer.Balancer
 	now     balancer.Time
 	servers []balancer.Endpoint
@@ -115,7 +115,7 @@
 // arrivalGap is between requests, at the planned rate.
 const arrivalGap = time.Second / plannedRate
 
-func newWorld(servers int) (*world, error) {
+func newWorld(servers int) (*benchBalancer, error) {
 	raw, err := configOf(servers, 0)
 	if err != nil {
 		return nil, err
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &world{m: balancer.New(cfg.Settings, 1), now: time.Hour, entries: entries(planned(max(1, servers/10), servers)),
+	w := &benchBalancer{m: balancer.New(cfg.Settings, 1), now: time.Hour, entries: entries(plannedScenario(max(1, servers/10), servers)),
 		classes: cfg.Settings.Classes, dir: &discovery.Directory{}}
 	u, err := w.decode(listJSON(1, w.entries))
 	if err != nil {
@@ -141,7 +141,7 @@
 	return w, nil
 }
 
-func (w *world) decode(raw []byte) (balancer.EndpointUpdate, error) {
+func (w *benchBalancer) decode(raw []byte) (balancer.EndpointUpdate, error) {
 	var l discovery.List
 	if err := json.Unmarshal(raw, &l); err != nil {
 		return balancer.EndpointUpdate{}, err
@@ -150,13 +150,13 @@
 	return u, nil
 }
 
-func (w *world) tick() {
+func (w *benchBalancer) tick() {
 	w.now += 25 * time.Millisecond
 	w.m.Handle(w.now, balancer.TimerFired{})
 }
 
 // request has one arrive and be served.
-func (w *world) request() {
+func (w *benchBalancer) request() {
 	w.next++
 	w.now += arrivalGap
 	id := balancer.RequestID(fmt.Sprintf("%016x", w.next))
@@ -168,7 +168,7 @@
 }
 
 // change is a list change of one entry, as discovery writes it.
-func (w *world) change() []byte {
+func (w *benchBalancer) change() []byte {
 	w.version++
 	e := w.entries[int(w.version)*7919%len(w.entries)]
 	e.Weight = 1 + 0.01*float64(w.version%10)
@@ -278,10 +278,10 @@
 	f := Figure{Name: "discovery: bytes sent and received", Unit: "KB/s", Over: "nodes x list changes/s", Planned: plannedNodes * changes,
 		Budget: plannedNodes * budgetBytes / 1e3, Mechanism: "internal/discovery/watcher.go Watcher.Next", Note: "hollow nodes, pushed lists, 120 servers"}
 	for _, n := range nodes {
-		s := planned(n, 120)
+		s := plannedScenario(n, 120)
 		s.Traffic.Rate = 1
-		s.Length, s.Warm = scenario.Duration(length), scenario.Duration(2*time.Second)
-		s.Events = []scenario.Event{{At: 0, Over: s.Length, Do: "change-lists", Count: changes * int(length/time.Second)}}
+		s.Length, s.Warmup = scenario.Duration(length), scenario.Duration(2*time.Second)
+		s.Events = []scenario.Event{{At: 0, Spread: s.Length, Action: "change-lists", Count: changes * int(length/time.Second)}}
 		r, err := hollow.Run(ctx, s)
 		if err != nil {
 			return nil, err
--- a/internal/lab/scaling/real.go
+++ b/internal/lab/scaling/real.go
@@ -30,7 +30,7 @@
 }
 
 // planned is a fleet as the operators plan it, of the given size.
-func planned(nodes, servers int) *scenario.Scenario {
+func plannedScenario(nodes, servers int) *scenario.Scenario {
 	s, err := scenario.Parse("planned", []byte(`
 name = "planned"
 [fleet]
@@ -105,7 +105,7 @@
 	for i := range out {
 		w := s.Server(i)
 		out[i] = model.Entry{Name: w.Name, Address: fmt.Sprintf("10.%d.%d.%d:5000", i>>16, i>>8&255, i&255), Zone: w.Zone,
-			Type: w.Kind.Name, Group: w.Cell, Status: model.Ready, Weight: float64(w.Kind.Cores) * w.Kind.Speed}
+			Type: w.MachineType.Name, Group: w.Cell, Status: model.Ready, Weight: float64(w.MachineType.Cores) * w.MachineType.Speed}
 	}
 	return out
 }
@@ -120,11 +120,11 @@
 type idleCase struct {
 	servers, tenants int
 	changes          float64 // of the list, a second
-	asked            bool
+	onDemand         bool
 }
 
 // idle is what it takes.
-type idle struct {
+type idleUse struct {
 	cpu    float64 // % of a core
 	bytes  float64 // a second, heads included
 	calls  float64 // a second
@@ -136,7 +136,7 @@
 var runs atomic.Int32
 
 // standing is a node with a discovery.
-type standing struct {
+type runningNode struct {
 	*fleet.Process
 	registries [2]*emulator.Registry // the second only where it is asked for
 	entries    []model.Entry
@@ -144,7 +144,7 @@
 	config     func(discovery string) ([]byte, error)
 }
 
-func (n *standing) close() {
+func (n *runningNode) close() {
 	if n.Process != nil {
 		n.Kill()
 	}
@@ -156,17 +156,17 @@
 }
 
 // start starts one node of a fleet of servers/10.
-func (e *Env) start(ctx context.Context, c idleCase, registries int) (_ *standing, err error) {
-	s := planned(max(1, c.servers/10), c.servers)
-	s.Traffic.Tenants, s.Disco.Asked = c.tenants, c.asked
-	n := &standing{entries: entries(s)}
+func (e *Env) start(ctx context.Context, c idleCase, registries int) (_ *runningNode, err error) {
+	s := plannedScenario(max(1, c.servers/10), c.servers)
+	s.Traffic.Tenants, s.Discovery.OnDemand = c.tenants, c.onDemand
+	n := &runningNode{entries: entries(s)}
 	defer func() {
 		if err != nil {
 			n.close()
 		}
 	}()
 	for i := range registries {
-		if n.registries[i], err = emulator.NewRegistry(emulator.RegistryConfig{RegistryConfig: model.RegistryConfig{Nodes: 1, OnDemand: c.asked}}); err != nil {
+		if n.registries[i], err = emulator.NewRegistry(emulator.RegistryConfig{RegistryConfig: model.RegistryConfig{Nodes: 1, OnDemand: c.onDemand}}); err != nil {
 			return nil, err
 		}
 		if err := n.registries[i].Change(n.entries...); err != nil {
@@ -180,7 +180,7 @@
 	name := fmt.Sprintf("s%d", runs.Add(1))
 	n.file = filepath.Join(e.Dir, name+".json")
 	n.config = func(discovery string) ([]byte, error) {
-		return s.Config(0, scenario.Told{Listen: address[0], Discovery: discovery, Known: listJSON(1, n.entries)})
+		return s.NodeConfig(0, scenario.NodeStart{Listen: address[0], Discovery: discovery, KnownList: listJSON(1, n.entries)})
 	}
 	config, err := n.config(n.registries[0].Addr(0))
 	if err != nil {
@@ -223,58 +223,58 @@
 const busyFactor = 1.05
 
 // watch measures an idle node.
-func (e *Env) watch(ctx context.Context, c idleCase) (idle, error) {
+func (e *Env) watch(ctx context.Context, c idleCase) (idleUse, error) {
 	n, err := e.start(ctx, c, 1)
 	if err != nil {
-		return idle{}, err
+		return idleUse{}, err
 	}
 	defer n.close()
 	if err := sleep(ctx, e.rest()); err != nil {
-		return idle{}, err
+		return idleUse{}, err
 	}
 	r := n.registries[0]
-	before, lists := fleet.Use{}, r.Stats()
-	if before, err = n.Use(); err != nil {
-		return idle{}, err
+	before, lists := fleet.Usage{}, r.Stats()
+	if before, err = n.Usage(); err != nil {
+		return idleUse{}, err
 	}
 	began := time.Now()
 	for i := 1; c.changes > 0 && float64(i) <= c.changes*e.measure().Seconds(); i++ {
 		at := began.Add(time.Duration((float64(i) - 0.5) / c.changes * float64(time.Second)))
 		if err := sleep(ctx, time.Until(at)); err != nil {
-			return idle{}, err
+			return idleUse{}, err
 		}
 		entry := n.entries[i*7919%len(n.entries)]
 		entry.Weight = 1 + 0.01*float64(i%10)
 		if err := r.Change(entry); err != nil {
-			return idle{}, err
+			return idleUse{}, err
 		}
 	}
 	if err := sleep(ctx, time.Until(began.Add(e.measure()))); err != nil {
-		return idle{}, err
+		return idleUse{}, err
 	}
-	after, err := n.Use()
+	after, err := n.Usage()
 	if err != nil {
-		return idle{}, err
+		return idleUse{}, err
 	}
 	seconds, now := time.Since(began).Seconds(), r.Stats()
 	config, err := os.Stat(n.file)
 	if err != nil {
-		return idle{}, err
+		return idleUse{}, err
 	}
-	out := idle{cpu: 100 * (after.CPU - before.CPU).Seconds() / seconds, bytes: float64(now.BytesIn+now.BytesOut-lists.BytesIn-lists.BytesOut) / seconds,
+	out := idleUse{cpu: 100 * (after.CPU - before.CPU).Seconds() / seconds, bytes: float64(now.BytesIn+now.BytesOut-lists.BytesIn-lists.BytesOut) / seconds,
 		calls: float64(now.Calls-lists.Calls) / seconds, memory: float64(after.Memory) / 1e6, ready: n.Ready.Seconds() * 1e3,
 		config: float64(config.Size()) / 1e6}
 	e.log("  %+v: %+v", c, out)
 	if seconds > busyFactor*e.measure().Seconds() {
-		e.broke("%+v: watched for %.1f s in place of %v: the machine was busy, and the node may have stood still", c, seconds, e.measure())
+		e.violation("%+v: watched for %.1f s in place of %v: the machine was busy, and the node may have stood still", c, seconds, e.measure())
 	}
 	return out, nil
 }
 
 // watchAll measures idle nodes one after the other, as they share caches and
 // memory's bandwidth.
-func (e *Env) watchAll(ctx context.Context, cases []idleCase) ([]idle, error) {
-	var out []idle
+func (e *Env) watchAll(ctx context.Context, cases []idleCase) ([]idleUse, error) {
+	var out []idleUse
 	for _, c := range cases {
 		i, err := e.watch(ctx, c)
 		if err != nil {
@@ -286,24 +286,24 @@
 }
 
 // idleFigures are the figures of an idle node over something.
-func idleFigures(what, over string, planned float64, xs []float64, got []idle) []Figure {
-	point := func(f func(idle) float64) []Point {
+func idleFigures(what, over string, planned float64, xs []float64, got []idleUse) []Figure {
+	point := func(f func(idleUse) float64) []Point {
 		var out []Point
 		for i, x := range xs {
 			out = append(out, Point{x, f(got[i])})
 		}
 		return out
 	}
-	fig := func(name, unit, mechanism string, budget float64, f func(idle) float64) Figure {
+	fig := func(name, unit, mechanism string, budget float64, f func(idleUse) float64) Figure {
 		return Figure{Name: what + ": " + name, Unit: unit, Over: over, Planned: planned, Budget: budget, Mechanism: mechanism, Points: point(f)}
 	}
 	const watcher = "internal/discovery/watcher.go Watcher.Next, PaceOf"
 	return []Figure{
-		fig("processor", "% of a core", "decide/decide.go Module.tick; "+watcher, budgetCPU, func(i idle) float64 { return i.cpu }),
-		fig("list traffic", "bytes/s", watcher, budgetBytes, func(i idle) float64 { return i.bytes }),
-		fig("calls to discovery", "1/s", watcher, 0, func(i idle) float64 { return i.calls }),
-		fig("memory, peak", "MB", "internal/node/config.go ParseConfig; decide/decide.go Module.follow", budgetMemory, func(i idle) float64 { return i.memory }),
-		fig("time to ready", "ms", "internal/node/config.go LoadConfig; internal/node/node.go Node.Run", budgetForce, func(i idle) float64 { return i.ready }),
+		fig("processor", "% of a core", "decide/decide.go Module.tick; "+watcher, budgetCPU, func(i idleUse) float64 { return i.cpu }),
+		fig("list traffic", "bytes/s", watcher, budgetBytes, func(i idleUse) float64 { return i.bytes }),
+		fig("calls to discovery", "1/s", watcher, 0, func(i idleUse) float64 { return i.calls }),
+		fig("memory, peak", "MB", "internal/node/config.go ParseConfig; decide/decide.go Module.follow", budgetMemory, func(i idleUse) float64 { return i.memory }),
+		fig("time to ready", "ms", "internal/node/config.go LoadConfig; internal/node/node.go Node.Run", budgetForce, func(i idleUse) float64 { return i.ready }),
 	}
 }
 
@@ -313,7 +313,7 @@
 		var cases []idleCase
 		var xs []float64
 		for _, n := range e.servers() {
-			cases, xs = append(cases, idleCase{servers: n, asked: asked}), append(xs, float64(n))
+			cases, xs = append(cases, idleCase{servers: n, onDemand: asked}), append(xs, float64(n))
 		}
 		got, err := e.watchAll(ctx, cases)
 		if err != nil {
@@ -385,10 +385,10 @@
 }
 
 // hup moves discovery to and fro. The idle node's own use is taken off.
-func (e *Env) hup(ctx context.Context, n *standing) (cpuMS, kb float64, err error) {
+func (e *Env) hup(ctx context.Context, n *runningNode) (cpuMS, kb float64, err error) {
 	wait := max(e.measure()/20, 50*time.Millisecond)
 	use := func() (time.Duration, int64) {
-		u, failed := n.Use()
+		u, failed := n.Usage()
 		err = firstOf(err, failed)
 		sum := int64(0)
 		for _, r := range n.registries {
@@ -428,7 +428,7 @@
 // and three times.
 var addedRates = []float64{60, plannedRate, 2 * plannedRate, 3 * plannedRate}
 
-func added(ctx context.Context, e *Env) ([]Figure, error) {
+func addedLatency(ctx context.Context, e *Env) ([]Figure, error) {
 	fig := func(name string, budget float64) Figure {
 		return Figure{Name: "added by a node: " + name, Unit: "ms", Over: "requests/s", Planned: plannedRate, Budget: budget,
 			Mechanism: "internal/node/frontend.go frontend.ServeHTTP; internal/node/backend.go pool.attempt",
@@ -438,20 +438,20 @@
 	cpu.Name, cpu.Unit, cpu.Mechanism = "node under traffic: processor", "% of a core", "internal/node; decide/decide.go Module.Handle"
 	rates := addedRates
 	if e.small {
-		rates = rates[:leastPoints]
+		rates = rates[:minPoints]
 	}
 	for _, rate := range rates {
-		s := planned(1, 60)
+		s := plannedScenario(1, 60)
 		s.Traffic.Rate, s.Traffic.Connections, s.Traffic.Retries = rate, 400, 0
 		s.Servers.Handshake = 0
-		s.Warm = scenario.Duration(e.rest())
-		s.Length = s.Warm + scenario.Duration(e.measure())
+		s.Warmup = scenario.Duration(e.rest())
+		s.Length = s.Warmup + scenario.Duration(e.measure())
 		r, err := fleet.Run(ctx, s, fleet.Options{Node: e.Node})
 		if err != nil {
 			return nil, err
 		}
-		for _, b := range r.Broken {
-			e.broke("added, %v/s: %s", rate, b)
+		for _, b := range r.Violations {
+			e.violation("added, %v/s: %s", rate, b)
 		}
 		e.log("  %v/s: %+v, %.1f %% of a core", rate, r.Added, 100*r.Cost.NodeCPU)
 		p50.Points = append(p50.Points, Point{rate, r.Added.P50 * 1e3})
--- a/internal/lab/scaling/slopes.go
+++ b/internal/lab/scaling/slopes.go
@@ -62,7 +62,7 @@
 }
 
 // leastPoints is how many sizes a slope takes.
-const leastPoints = 3
+const minPoints = 3
 
 // fit draws the line.
 func (f *Figure) fit() error {
@@ -75,8 +75,8 @@
 		xs[p.X] = true
 		x, ys = append(x, p.X), append(ys, p.Y)
 	}
-	if len(xs) < leastPoints {
-		return fmt.Errorf("scaling: %s: measured at %d sizes, want %d", f.Name, len(xs), leastPoints)
+	if len(xs) < minPoints {
+		return fmt.Errorf("scaling: %s: measured at %d sizes, want %d", f.Name, len(xs), minPoints)
 	}
 	f.Intercept, f.Slope = stat.LinearRegression(x, ys, nil, false)
 	f.R2 = 1
@@ -100,12 +100,12 @@
 	Log     func(format string, args ...any)
 	small   bool // a test's sizes
 
-	broken []string
+	violations []string
 }
 
 // broke notes that a measurement cannot be trusted.
-func (e *Env) broke(format string, args ...any) {
-	e.broken = append(e.broken, fmt.Sprintf(format, args...))
+func (e *Env) violation(format string, args ...any) {
+	e.violations = append(e.violations, fmt.Sprintf(format, args...))
 	e.log("  BROKEN: "+format, args...)
 }
 
@@ -131,19 +131,19 @@
 	{"sighup", "a node's work and list traffic for one SIGHUP that moves discovery, by servers", sighup},
 	{"decide", "the decisions alone, by servers: tick, list change, request; and a list change before them", decisions},
 	{"list", "a whole list by servers, and what it takes of the traffic budget of all nodes", wholeList},
-	{"added", "what one real node adds to a request, by requests a second", added},
+	{"added", "what one real node adds to a request, by requests a second", addedLatency},
 	{"registry", "what discovery sends, by nodes times list changes a second", registryBytes},
 }
 
 // Report is what a run of measurements found.
 type Report struct {
-	Started string         `json:"started"` // time of day, RFC 3339
-	Seconds float64        `json:"seconds"`
-	Version string         `json:"version"`
-	Machine result.Machine `json:"machine"`
-	Threads int            `json:"node_gomaxprocs"` // of the real nodes
-	Figures []Figure       `json:"figures"`
-	Broken  []string       `json:"broken"` // measurements that cannot be trusted, and why
+	Started    string         `json:"started"` // time of day, RFC 3339
+	Seconds    float64        `json:"seconds"`
+	Version    string         `json:"version"`
+	Machine    result.Machine `json:"machine"`
+	Threads    int            `json:"node_gomaxprocs"` // of the real nodes
+	Figures    []Figure       `json:"figures"`
+	Violations []string       `json:"broken"` // measurements that cannot be trusted, and why
 }
 
 // Run makes the measurements of the given names, or all.
@@ -154,8 +154,8 @@
 		}
 	}
 	began := time.Now()
-	e.broken = nil
-	base := planned(plannedNodes, plannedServers)
+	e.violations = nil
+	base := plannedScenario(plannedNodes, plannedServers)
 	r := &Report{Started: began.UTC().Format(time.RFC3339), Machine: result.ThisMachine(), Threads: nodeThreads,
 		Version: result.New(base, result.Real).Version, Figures: []Figure{}}
 	for _, m := range All {
@@ -175,7 +175,7 @@
 			r.Figures = append(r.Figures, f)
 		}
 	}
-	r.Broken = append([]string{}, e.broken...)
+	r.Violations = append([]string{}, e.violations...)
 	r.Seconds = time.Since(began).Seconds()
 	return r, nil
 }
@@ -206,21 +206,21 @@
 	for _, f := range r.Figures {
 		var points []string
 		for _, p := range f.Points {
-			points = append(points, number(p.X)+": "+number(p.Y))
+			points = append(points, formatNumber(p.X)+": "+formatNumber(p.Y))
 		}
 		budget, part := "-", "-"
 		if f.Budget > 0 {
-			budget, part = number(f.Budget), number(100*f.AtPlanned/f.Budget)+" %"
+			budget, part = formatNumber(f.Budget), formatNumber(100*f.AtPlanned/f.Budget)+" %"
 		}
 		if f.OverBudget() {
 			part += " OVER"
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%.3f\t%s\t%s\t%s\t%s\t%s\n", f.Name, f.Unit, f.Over, strings.Join(points, ", "),
-			number(f.Slope), number(f.Intercept), f.R2, number(f.Planned), number(f.AtPlanned), budget, part, f.Mechanism)
+			formatNumber(f.Slope), formatNumber(f.Intercept), f.R2, formatNumber(f.Planned), formatNumber(f.AtPlanned), budget, part, f.Mechanism)
 	}
 	fmt.Fprintf(t, "\n%d CPUs, %s, %s; nodes with GOMAXPROCS=%d; version %s; %.0f s\n", r.Machine.CPUs, r.Machine.Go, r.Machine.OS, r.Threads,
 		r.Version, r.Seconds)
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		fmt.Fprintf(t, "BROKEN\t%s\n", b)
 	}
 	if err := t.Flush(); err != nil {
@@ -230,7 +230,7 @@
 }
 
 // number writes three digits, and whole ones where there are more.
-func number(v float64) string {
+func formatNumber(v float64) string {
 	if math.Abs(v) >= 100 || v == math.Trunc(v) && math.Abs(v) < 1e6 {
 		return strconv.FormatFloat(v, 'f', 0, 64)
 	}
--- a/internal/lab/scaling/slopes_test.go
+++ b/internal/lab/scaling/slopes_test.go
@@ -78,7 +78,7 @@
 	seen := map[string]bool{}
 	for _, f := range r.Figures {
 		seen[strings.TrimPrefix(f.Command, "bankshift-lab slopes ")] = true
-		if f.Unit == "" || f.Over == "" || f.Planned <= 0 || f.Mechanism == "" || len(f.Points) < leastPoints {
+		if f.Unit == "" || f.Over == "" || f.Planned <= 0 || f.Mechanism == "" || len(f.Points) < minPoints {
 			t.Errorf("%+v lacks something", f)
 		}
 		if strings.Contains(f.Name, "ready") || strings.Contains(f.Name, "size") || strings.Contains(f.Name, "decide") || strings.Contains(f.Name, "memory") {
@@ -102,7 +102,7 @@
 	if err := json.Unmarshal(text.Bytes(), &back); err != nil || len(back.Figures) != len(r.Figures) {
 		t.Errorf("%v", err)
 	}
-	if err := r.Table(&table); err != nil || strings.Count(table.String(), "\n") != len(r.Figures)+len(r.Broken)+3 {
+	if err := r.Table(&table); err != nil || strings.Count(table.String(), "\n") != len(r.Figures)+len(r.Violations)+3 {
 		t.Errorf("%v\n%s", err, table.String())
 	}
 }
@@ -110,9 +110,9 @@
 // TestSaysWhatCannotBeTrusted: in the table and for the exit code.
 func TestSaysWhatCannotBeTrusted(t *testing.T) {
 	e := &Env{}
-	e.broke("held up for %d s", 7)
+	e.violation("held up for %d s", 7)
 	var b bytes.Buffer
-	if err := (&Report{Broken: e.broken}).Table(&b); err != nil || !strings.Contains(b.String(), "held up for 7 s") {
+	if err := (&Report{Violations: e.violations}).Table(&b); err != nil || !strings.Contains(b.String(), "held up for 7 s") {
 		t.Errorf("%v\n%s", err, b.String())
 	}
 }
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -15,7 +15,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-const wantDuration = `want a time of 0 or more in quotes and with its unit, as in "250ms"`
+const durationWanted = `want a time of 0 or more in quotes and with its unit, as in "250ms"`
 
 // Load reads the scenario at path. An error joins one line for each fault:
 // file, line, key, and what was wanted.
@@ -36,12 +36,12 @@
 
 // Parse reads a scenario; errors name it as file. See Load.
 func Parse(file string, raw []byte) (*Scenario, error) {
-	keys, err := keysOf(raw)
+	keys, err := findKeys(raw)
 	if err != nil {
 		var at *unstable.ParserError
 		line := 0
 		if errors.As(err, &at) {
-			line = 1 + bytes.Count(raw[:len(raw)-len(keys.left)], []byte("\n"))
+			line = 1 + bytes.Count(raw[:len(raw)-len(keys.rest)], []byte("\n"))
 		}
 		return nil, fmt.Errorf("%s:%d: not TOML: %w", file, line, err)
 	}
@@ -54,9 +54,9 @@
 		faults = append(faults, found{line, fmt.Errorf("%s:%d: %s: %s", file, line, key, fmt.Sprintf(format, args...))})
 	}
 	s := decode(raw, keys, fault)
-	s.fill()
-	s.check(func(key, format string, args ...any) {
-		if line := keys.line(key); !keys.bad[line] {
+	s.fillDefaults()
+	s.validate(func(key, format string, args ...any) {
+		if line := keys.line(key); !keys.faulty[line] {
 			fault(line, key, format, args...)
 		}
 	})
@@ -75,7 +75,7 @@
 
 // decode fills a scenario. The library stops at the first value of a wrong
 // type, so the line of each is taken out and the rest is read again.
-func decode(raw []byte, keys *keys, fault func(line int, key, format string, args ...any)) Scenario {
+func decode(raw []byte, keys *keyLines, fault func(line int, key, format string, args ...any)) Scenario {
 	lines := bytes.SplitAfter(raw, []byte("\n"))
 	for {
 		s := defaults()
@@ -96,8 +96,8 @@
 			return s
 		}
 		line, _ := wrong.Position()
-		fault(line, keys.at[line], "%s", cmp.Or(wanted(reflect.TypeFor[Scenario](), keys.at[line]), wrong.Error()))
-		keys.bad[line] = true
+		fault(line, keys.pathOf[line], "%s", cmp.Or(expectedValue(reflect.TypeFor[Scenario](), keys.pathOf[line]), wrong.Error()))
+		keys.faulty[line] = true
 		if lines[line-1] = []byte("\n"); toml.Unmarshal(bytes.Join(lines, nil), new(map[string]any)) != nil {
 			return s // the value went on behind its line
 		}
@@ -105,7 +105,7 @@
 }
 
 // wanted says what the value of a key must be, "" if there is no such key.
-func wanted(t reflect.Type, path string) string {
+func expectedValue(t reflect.Type, path string) string {
 	for name := range strings.SplitSeq(path, ".") {
 		name, _, _ = strings.Cut(name, "[")
 		if t.Kind() == reflect.Slice {
@@ -124,7 +124,7 @@
 		t = field.Type
 	}
 	if t == reflect.TypeFor[Duration]() {
-		return wantDuration
+		return durationWanted
 	}
 	if t.Kind() == reflect.Pointer {
 		t = t.Elem()
@@ -147,17 +147,17 @@
 }
 
 // keys knows where a file's keys are.
-type keys struct {
-	lines map[string]int // by path, as in class[0].aim
-	at    map[int]string // the path whose value is on a line
-	bad   map[int]bool   // lines on which a fault has been found
-	left  []byte         // of the file behind a fault of its form
+type keyLines struct {
+	lineOf map[string]int // by path, as in class[0].aim
+	pathOf map[int]string // the path whose value is on a line
+	faulty map[int]bool   // lines on which a fault has been found
+	rest   []byte         // of the file behind a fault of its form
 }
 
 // line finds a key or, where it is left out, the table that it belongs to.
-func (k *keys) line(path string) int {
+func (k *keyLines) line(path string) int {
 	for path != "" {
-		if line := k.lines[path]; line > 0 {
+		if line := k.lineOf[path]; line > 0 {
 			return line
 		}
 		path = path[:max(0, strings.LastIndexAny(path, ".["))]
@@ -165,8 +165,8 @@
 	return 1
 }
 
-func keysOf(raw []byte) (*keys, error) {
-	k := &keys{lines: map[string]int{}, at: map[int]string{}, bad: map[int]bool{}}
+func findKeys(raw []byte) (*keyLines, error) {
+	k := &keyLines{lineOf: map[string]int{}, pathOf: map[int]string{}, faulty: map[int]bool{}}
 	counts := map[string]int{}
 	var p unstable.Parser
 	p.Reset(raw)
@@ -199,17 +199,17 @@
 		case unstable.Table:
 			table = path
 		default:
-			k.at[line] = path
+			k.pathOf[line] = path
 		}
-		if k.lines[path] == 0 {
-			k.lines[path] = line
+		if k.lineOf[path] == 0 {
+			k.lineOf[path] = line
 		}
 	}
 	if err := p.Error(); err != nil {
 		var at *unstable.ParserError
 		if errors.As(err, &at) && len(at.Highlight) > 0 {
 			r := p.Range(at.Highlight)
-			k.left = raw[r.Offset:]
+			k.rest = raw[r.Offset:]
 		}
 		return k, err
 	}
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -114,7 +114,7 @@
 
 func TestConfigIsTheProjectsOwn(t *testing.T) {
 	s := parse(t, small)
-	raw, err := s.Config(3, Told{Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2"})
+	raw, err := s.NodeConfig(3, NodeStart{Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,16 +131,16 @@
 			{Name: "pay", PriorityWeight: 4, LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, LateWeight: 0.5, Idempotency: balancer.IdempotentByKey,
 				DeduplicationScope: balancer.DeduplicatedByZone, DeduplicationWindow: 3 * time.Second}},
 		Tenants:     []balancer.Tenant{{Name: "t00000", Quota: 7.5, QuotaFraction: 0.5}, {Name: "t00001", Quota: 7.5, QuotaFraction: 0.5}},
-		MaxAttempts: 2, CancelAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: mostHoldOff, ClientsMarkRetries: true,
-		ConnectTimeout: 150 * time.Millisecond, MinEventInterval: tick, WeightKnown: true, WeightApproximate: true, OverQuotaWeight: 0.1,
+		MaxAttempts: 2, CancelAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: maxRetryAfter, ClientsMarkRetries: true,
+		ConnectTimeout: 150 * time.Millisecond, MinEventInterval: minEventInterval, WeightKnown: true, WeightApproximate: true, OverQuotaWeight: 0.1,
 		LoadReportFields: []string{}, ServiceFamily: "proxy", Tiers: []string{"lab"}, StreamsPerConnection: 1, IdleConnectionTimeout: time.Minute,
-		MaxOpenRequests: 20000, CPUPerSecond: time.Second, Goal: balancer.Goal{Whole: 1}, ResponseSlack: answerSlack,
+		MaxOpenRequests: 20000, CPUPerSecond: time.Second, Goal: balancer.Goal{Whole: 1}, ResponseSlack: responseSlack,
 		PollInterval: 10 * time.Second, DrainGrace: time.Second, SlowStartCapacity: 0.12, SlowStartDuration: 23 * time.Second,
 		OverloadFactor: 4, OverloadDuration: time.Second}
 	if !reflect.DeepEqual(c.Settings, want) {
 		t.Errorf("settings\n%+v, want\n%+v", c.Settings, want)
 	}
-	again, _ := s.Config(3, Told{Start: 1, Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2"})
+	again, _ := s.NodeConfig(3, NodeStart{Incarnation: 1, Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2"})
 	if d, err := node.ParseConfig(again); err != nil || d.Seed == c.Seed {
 		t.Errorf("after a restart: error %v, seed %x as before", err, d.Seed)
 	}
@@ -156,10 +156,10 @@
 			t.Errorf("cell %d is in zones %s and %s", v.Cell, zone, v.Zone)
 		}
 		cells[v.Cell] = v.Zone
-		if v.Kind.Name == "big" {
+		if v.MachineType.Name == "big" {
 			big++
 		}
-		if n := s.Server(i % 10); n.Zone != v.Zone || n.Cell != v.Cell || n.Kind != v.Kind {
+		if n := s.Server(i % 10); n.Zone != v.Zone || n.Cell != v.Cell || n.MachineType != v.MachineType {
 			t.Errorf("successor %+v of %+v", v, n)
 		}
 	}
@@ -173,8 +173,8 @@
 
 func TestStrikes(t *testing.T) {
 	s := parse(t, small)
-	got := s.Strikes(0)
-	if len(got) != 3 || !reflect.DeepEqual(got, s.Strikes(0)) {
+	got := s.Steps(0)
+	if len(got) != 3 || !reflect.DeepEqual(got, s.Steps(0)) {
 		t.Fatalf("strikes %+v, want three, and the same again", got)
 	}
 	seen := map[int]bool{}
@@ -185,7 +185,7 @@
 		}
 		seen[k.Index] = true
 	}
-	if end := s.End(); end != 3300*time.Millisecond {
+	if end := s.LastEventEnd(); end != 3300*time.Millisecond {
 		t.Errorf("the end is at %v", end)
 	}
 }
