--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -22,18 +22,25 @@
 	if err != nil {
 		return 0, err
 	}
-	closed := raw.Control(func(fd uintptr) {
-		var b [1]byte
-		for again := true; again; again = errors.Is(err, syscall.EINTR) {
-			n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		}
+	var b [1]byte
+	controlErr := raw.Control(func(fd uintptr) {
+		n, err = peek(int(fd), b[:])
 	})
-	if closed != nil {
-		return 0, closed
+	if controlErr != nil {
+		return 0, controlErr // c was closed on this side
 	}
 	return n, err
 }
 
+func peek(fd int, b []byte) (n int, err error) {
+	for {
+		n, _, err = syscall.Recvfrom(fd, b, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		if !errors.Is(err, syscall.EINTR) {
+			return n, err
+		}
+	}
+}
+
 // Quiet reports whether c is open with nothing to read. Another goroutine may
 // be blocked in a read of c meanwhile.
 func Quiet(c net.Conn) bool {
@@ -47,32 +54,30 @@
 	if err == nil {
 		return n == 0
 	}
-	for _, errno := range []syscall.Errno{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
-		syscall.EPIPE, syscall.ECONNABORTED, syscall.ENOTCONN} {
-		if errors.Is(err, errno) {
-			return true
-		}
-	}
-	return false
+	return isAny(err, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
+		syscall.EPIPE, syscall.ECONNABORTED, syscall.ENOTCONN)
 }
 
 // LocalFailure reports whether err comes from a shortage on this machine, such
 // as of descriptors, memory or ports, and so says nothing about the peer.
 func LocalFailure(err error) bool {
-	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
-		syscall.EAGAIN, syscall.EINTR, syscall.EPERM} {
-		if errors.Is(err, errno) {
-			return true
-		}
-	}
-	return false
+	return isAny(err, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+		syscall.EAGAIN, syscall.EINTR, syscall.EPERM)
 }
 
 // Unreachable reports whether err says that there is no route to the peer,
 // which may be due to this machine, to the network or to the peer.
 func Unreachable(err error) bool {
-	return errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.EHOSTUNREACH) || errors.Is(err, syscall.ENETDOWN) ||
-		errors.Is(err, syscall.ETIMEDOUT)
+	return isAny(err, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.ETIMEDOUT)
+}
+
+func isAny(err error, errnos ...syscall.Errno) bool {
+	for _, errno := range errnos {
+		if errors.Is(err, errno) {
+			return true
+		}
+	}
+	return false
 }
 
 // Sleep waits for d, as between two tries of an operation on a socket. It
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -12,161 +12,197 @@
 )
 
 const (
-	// A connection that is not up after this part of the time it may take is
-	// late by chance, and another one is dialled beside it: most come up within
-	// some round trips, and what keeps one back, a lost packet or a full backlog,
-	// seldom strikes the next.
+	// hedgePart is the part of ConnectTimeout after which a second connection is
+	// dialled beside one that is not up yet. Most come up within a few round
+	// trips, and what delays one, a lost packet or a full backlog, seldom delays
+	// the next.
 	hedgePart = 0.25
 
-	// A dial goes on for so long behind the attempt that it was for. A lost SYN
-	// is sent again after 1 s (RFC 6298), and the connection serves the next
-	// request; given up, it would cost the server its handshake for nothing.
-	dialLongest = 2 * time.Second
+	// minDialTime is how long a dial may take at least, even if its attempt no
+	// longer waits for it. A lost SYN is sent again after 1 s (RFC 6298), and the
+	// connection serves the next request; a dial given up costs the endpoint a
+	// handshake for nothing.
+	minDialTime = 2 * time.Second
 
-	dialRetryFirst = 2 * time.Millisecond  // wait behind a dial that failed on this machine's account; doubles
-	dialRetryLast  = 30 * time.Millisecond // the longest such wait
+	// The wait after a dial that failed on this machine's account doubles from
+	// the first to the last.
+	firstRetryWait = 2 * time.Millisecond
+	lastRetryWait  = 30 * time.Millisecond
+
+	maxDialsPerWaiter = 2 // its own and the hedge
 )
 
-// want is an attempt that waits for a connection.
-type want struct {
-	began    time.Time
-	up       chan *conn // takes one connection, from whichever dial
-	failed   chan error // takes an error from each of its own dials
-	dials    []context.CancelFunc
-	obstacle error // the last failure behind which a dial of its own goes on
+// waiter is an attempt that waits for a connection.
+type waiter struct {
+	startedAt time.Time
+	connected chan *conn // receives one connection at most, from any dial
+	failed    chan error // receives the error of each of its own dials that fails
+
+	cancelDials []context.CancelFunc // of its own dials; used by the attempt's goroutine only
+	lastFailure error                // of its own dials that are still being retried; guarded by Pool.mu
+}
+
+func newWaiter() *waiter {
+	return &waiter{
+		startedAt: time.Now(),
+		connected: make(chan *conn, 1),
+		failed:    make(chan error, maxDialsPerWaiter),
+	}
 }
 
-// connect dials and waits for the first connection to the backend that comes
-// up, its own or one that an earlier attempt left behind. The caller has taken
-// leave for the first dial. An error proves that nothing was sent.
+// connect dials b and returns the first connection to it that comes up, be it
+// by its own dial or by one that an earlier attempt left behind. The caller has
+// counted the first connection. If connect fails, nothing has been sent.
 func (p *Pool) connect(ctx context.Context, b *backend) (*conn, error) {
-	w := &want{began: time.Now(), up: make(chan *conn, 1), failed: make(chan error, 2)}
-	var late, hedge <-chan time.Time
-	if limit := p.dialer.Timeout; limit > 0 {
-		l, h := time.NewTimer(limit), time.NewTimer(time.Duration(hedgePart*float64(limit)))
-		defer l.Stop()
-		defer h.Stop()
-		late, hedge = l.C, h.C
+	w := newWaiter()
+	var timeout, hedge <-chan time.Time
+	if limit := p.config.ConnectTimeout; limit > 0 {
+		timeoutTimer := time.NewTimer(limit)
+		defer timeoutTimer.Stop()
+		hedgeTimer := time.NewTimer(time.Duration(hedgePart * float64(limit)))
+		defer hedgeTimer.Stop()
+		timeout, hedge = timeoutTimer.C, hedgeTimer.C
 	}
-	p.mu.Lock()
-	b.wants = append(b.wants, w)
-	p.dial(b, w)
-	p.mu.Unlock()
-	for failures := 0; ; {
-		var err error
+	p.startWaiting(b, w)
+	failures := 0
+	for {
 		select {
-		case c := <-w.up:
-			p.leave(b, w)
+		case c := <-w.connected:
+			p.stopWaiting(b, w)
 			return c, nil
 		case <-hedge:
-			p.mu.Lock()
-			if b.dials <= len(b.wants) && p.open < p.most {
-				p.open++
-				p.dial(b, w)
+			p.hedge(b, w)
+		case err := <-w.failed:
+			failures++
+			if failures >= len(w.cancelDials) {
+				return p.giveUp(b, w, err)
 			}
-			p.mu.Unlock()
-			continue
-		case err = <-w.failed:
-			if failures++; failures < len(w.dials) {
-				continue
-			}
-		case <-late:
-			err = p.lateError(b, w)
+		case <-timeout:
+			return p.giveUp(b, w, p.timeoutError(b, w))
 		case <-ctx.Done():
-			err = ctx.Err()
-		}
-		if c := p.leave(b, w); c != nil {
-			return c, nil // it came up just now
+			return p.giveUp(b, w, ctx.Err())
 		}
-		return nil, err
 	}
 }
 
-// leave takes w off those that wait, and gives the connection that it was
-// handed meanwhile. One dial more than there are attempts waiting goes on; the
-// next attempt will want it. The others end.
-func (p *Pool) leave(b *backend, w *want) *conn {
+// startWaiting adds w to the waiters of b and begins its first dial.
+func (p *Pool) startWaiting(b *backend, w *waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if i := slices.Index(b.wants, w); i >= 0 {
-		b.wants = slices.Delete(b.wants, i, i+1)
+	b.waiters = append(b.waiters, w)
+	p.dial(b, w)
+}
+
+// hedge begins a second dial for w, unless more dials than waiters are under
+// way already or there are too many connections.
+func (p *Pool) hedge(b *backend, w *waiter) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if b.dials <= len(b.waiters) && p.connections < p.config.MaxConnections {
+		p.connections++
+		p.dial(b, w)
+	}
+}
+
+// giveUp ends the wait of w with err, unless a connection has come up meanwhile.
+func (p *Pool) giveUp(b *backend, w *waiter, err error) (*conn, error) {
+	if c := p.stopWaiting(b, w); c != nil {
+		return c, nil
 	}
-	if b.dials > len(b.wants)+1 {
-		for _, cancel := range w.dials {
+	return nil, err
+}
+
+// stopWaiting removes w from the waiters of b, and returns the connection that
+// it was handed but has not received; nil: there is none. One dial more than
+// there are waiters goes on, for the next attempt; if there are more, those of
+// w are canceled.
+func (p *Pool) stopWaiting(b *backend, w *waiter) *conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if i := slices.Index(b.waiters, w); i >= 0 {
+		b.waiters = slices.Delete(b.waiters, i, i+1)
+	}
+	if b.dials > len(b.waiters)+1 {
+		for _, cancel := range w.cancelDials {
 			cancel()
 		}
 	}
 	select {
-	case c := <-w.up:
+	case c := <-w.connected:
 		return c
 	default:
 		return nil
 	}
 }
 
-// dial begins a connection, which is counted already. The caller holds p.mu.
-func (p *Pool) dial(b *backend, w *want) {
+// dial begins to dial a connection for w, which the caller has counted. The
+// caller holds p.mu.
+func (p *Pool) dial(b *backend, w *waiter) {
 	b.dials++
-	ctx, cancel := context.WithTimeout(context.Background(), max(dialLongest, p.dialer.Timeout))
-	w.dials = append(w.dials, cancel)
+	ctx, cancel := context.WithTimeout(context.Background(), max(minDialTime, p.config.ConnectTimeout))
+	w.cancelDials = append(w.cancelDials, cancel)
 	go func() {
 		defer cancel()
-		raw, err := p.dialOut(ctx, b.address, w)
+		raw, err := p.dialWithRetry(ctx, b.address, w)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		b.dials--
 		if err != nil {
-			p.open--
+			p.connections--
 			w.failed <- err
 			return
 		}
-		p.dialled(b, raw)
+		p.handOver(newConn(raw, p, b))
 	}()
 }
 
-// dialOut connects to an address. What fails on this machine's account fails
-// for a moment, so it is tried again until ctx ends. So is an address that can't
-// be reached, as that may be on this machine's account.
-func (p *Pool) dialOut(ctx context.Context, address string, w *want) (net.Conn, error) {
-	d := p.dialer
-	d.Timeout = 0 // that of the attempt, which connect keeps
-	for wait := dialRetryFirst; ; wait = min(2*wait, dialRetryLast) {
-		raw, err := d.DialContext(ctx, "tcp", address)
-		if err == nil || !sockets.LocalFailure(err) && !sockets.Unreachable(err) {
-			return raw, err
+// dialWithRetry connects to an address. A failure on this machine's account is
+// likely to pass, so the dial is retried until ctx ends. So is one that found
+// no route to the endpoint, which may be due to this machine, too.
+func (p *Pool) dialWithRetry(ctx context.Context, address string, w *waiter) (net.Conn, error) {
+	wait := firstRetryWait
+	for {
+		raw, err := p.config.Dialer.DialContext(ctx, "tcp", address)
+		if err == nil {
+			return raw, nil
+		}
+		if !sockets.LocalFailure(err) && !sockets.Unreachable(err) {
+			return nil, err
 		}
 		p.mu.Lock()
-		w.obstacle = err
+		w.lastFailure = err
 		p.mu.Unlock()
 		if !sockets.Sleep(ctx, wait) {
 			return nil, err
 		}
+		wait = min(2*wait, lastRetryWait)
+	}
+}
+
+// handOver gives a new connection to the attempt that has waited longest, or
+// keeps it for the next one. The caller holds p.mu.
+func (p *Pool) handOver(c *conn) {
+	p.lastConnectedAt = time.Now()
+	b := c.backend
+	if len(b.waiters) == 0 {
+		p.putIdle(c)
+		return
 	}
+	b.waiters[0].connected <- c // the attempt checks whether the endpoint still accepts requests
+	b.waiters = b.waiters[1:]
 }
 
-// lateError tells why no connection has come up in time. A server that can't be
-// reached is to blame only where another one could be.
-func (p *Pool) lateError(b *backend, w *want) error {
+// timeoutError returns why no connection has come up for w within
+// ConnectTimeout. An endpoint that cannot be reached is at fault only if
+// another one could be reached meanwhile.
+func (p *Pool) timeoutError(b *backend, w *waiter) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	switch {
-	case w.obstacle == nil:
+	if w.lastFailure == nil {
 		return fmt.Errorf("dial %s: %w", b.address, os.ErrDeadlineExceeded)
-	case sockets.Unreachable(w.obstacle) && p.upAt.Before(w.began):
-		return fmt.Errorf("%w: %w", errCutOff, w.obstacle)
 	}
-	return w.obstacle
-}
-
-// dialled hands a new connection to the attempt that has waited longest, or
-// keeps it for the next one. The caller holds p.mu.
-func (p *Pool) dialled(b *backend, raw net.Conn) {
-	p.upAt = time.Now()
-	c := newConn(raw, p, b)
-	if len(b.wants) > 0 { // the last gate is up to the attempt
-		b.wants[0].up <- c
-		b.wants = b.wants[1:]
-		return
+	if sockets.Unreachable(w.lastFailure) && p.lastConnectedAt.Before(w.startedAt) {
+		return fmt.Errorf("%w: %w", ErrCutOff, w.lastFailure)
 	}
-	p.keep(c)
+	return w.lastFailure
 }
--- /dev/null
+++ b/internal/upstream/errors.go
@@ -0,0 +1,104 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+
+	"bankshift/balancer"
+	"bankshift/internal/sockets"
+)
+
+// Reasons why an attempt failed, wrapped by an AttemptError.
+var (
+	ErrNotListed          = errors.New("endpoint not listed")
+	ErrTooManyConnections = errors.New("too many connections")
+	ErrCutOff             = errors.New("no endpoint can be reached from this machine")
+	ErrCalledOff          = errors.New("called off before it was sent")
+	ErrBadResponse        = errors.New("bad response") // malformed or too long
+
+	errNoDeadline = errors.New("attempt without a deadline")
+)
+
+// Step is the part of an attempt that failed.
+type Step string
+
+// The steps of an attempt, in order.
+const (
+	StepPrepare Step = "prepare" // all checks up to the first byte, and the encoding
+	StepDial    Step = "dial"    // also the wait for a connection
+	StepWrite   Step = "write"
+	StepRead    Step = "read"
+)
+
+// AttemptError is why an attempt got no valid response.
+type AttemptError struct {
+	Endpoint   balancer.EndpointID
+	Step       Step
+	MayHaveRun bool // the last byte of the request may have reached the endpoint
+	Err        error
+}
+
+func (e *AttemptError) Error() string {
+	return fmt.Sprintf("endpoint %d: %s: %v", e.Endpoint, e.Step, e.Err)
+}
+
+func (e *AttemptError) Unwrap() error { return e.Err }
+
+// notSent is the result of an attempt that this side did not begin to send.
+func notSent(id balancer.EndpointID, err error) Result {
+	return Result{
+		Outcome: balancer.NotSent,
+		Err:     &AttemptError{Endpoint: id, Step: StepPrepare, Err: err},
+	}
+}
+
+// failedUnsent is the result of an attempt whose last byte was not written, so
+// that the request has never run. ctx is that of the step that failed.
+func failedUnsent(ctx context.Context, id balancer.EndpointID, step Step, err error) Result {
+	return Result{
+		Outcome: unsentOutcome(ctx, err),
+		Err:     &AttemptError{Endpoint: id, Step: step, Err: err},
+	}
+}
+
+// failedSent is the result of an attempt that got no valid response after its
+// last byte was written, so that the request may have run.
+func failedSent(ctx context.Context, id balancer.EndpointID, step Step, err error) Result {
+	return Result{
+		Outcome: sentOutcome(ctx, err),
+		Err:     &AttemptError{Endpoint: id, Step: step, MayHaveRun: true, Err: err},
+	}
+}
+
+// unsentOutcome returns the outcome of an attempt whose last byte was not
+// written. The endpoint is at fault unless the end of the request or a shortage
+// on this machine kept it from being sent.
+func unsentOutcome(ctx context.Context, err error) balancer.Outcome {
+	switch {
+	case ctx.Err() != nil:
+		return balancer.NotSent
+	case errors.Is(err, ErrNotListed), errors.Is(err, ErrTooManyConnections), errors.Is(err, ErrCutOff):
+		return balancer.NotSent
+	case sockets.LocalFailure(err):
+		return balancer.NotSent
+	}
+	return balancer.ConnectFailed
+}
+
+// sentOutcome returns the outcome of an attempt whose last byte was written and
+// which got no valid response.
+func sentOutcome(ctx context.Context, err error) balancer.Outcome {
+	switch {
+	case errors.Is(ctx.Err(), context.Canceled):
+		return balancer.Canceled
+	case ctx.Err() != nil:
+		return balancer.TimedOut
+	case errors.Is(err, ErrBadResponse):
+		return balancer.ServerError
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return balancer.TimedOut
+	}
+	return balancer.Reset
+}
--- /dev/null
+++ b/internal/upstream/loadreport.go
@@ -0,0 +1,39 @@
+package upstream
+
+import (
+	"math"
+	"strconv"
+	"strings"
+
+	"bankshift/balancer"
+	"bankshift/internal/loadreport"
+)
+
+// parseLoadReport parses the value of a load report's header, a list like
+// "inflight=7,queue=2"; nil: there is no report. Fields with unknown names are
+// skipped. A report that is malformed in any part is ignored as a whole: half a
+// report is worth less than the counts that it would replace.
+func parseLoadReport(header string) *balancer.LoadReport {
+	if header == "" {
+		return nil
+	}
+	var report balancer.LoadReport
+	anyKnown := false
+	for field := range strings.SplitSeq(header, ",") {
+		name, text, ok := strings.Cut(strings.TrimSpace(field), "=")
+		if !ok {
+			return nil
+		}
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil || math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
+			return nil
+		}
+		if loadreport.SetField(&report, name, value) {
+			anyKnown = true
+		}
+	}
+	if !anyKnown {
+		return nil
+	}
+	return &report
+}
--- /dev/null
+++ b/internal/upstream/request_test.go
@@ -0,0 +1,34 @@
+package upstream
+
+import (
+	"net/http"
+	"net/url"
+	"testing"
+	"time"
+)
+
+// TestEncodeRequest: a request goes on unchanged but for its deadline.
+func TestEncodeRequest(t *testing.T) {
+	r := &Request{
+		Method: http.MethodPost,
+		URL:    &url.URL{Path: "/api/a/b", RawPath: "/api/a%2Fb", RawQuery: "x=1&y=%20"},
+		Host:   "app.svc",
+		Header: http.Header{"X-Request-Id": {"q"}, "Idempotency-Key": {"k"}, "X-Deadline": {"9"}},
+		Body:   []byte("body"),
+	}
+	encoded, err := r.encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for timeLeft, deadline := range map[time.Duration]string{
+		1500 * time.Millisecond: "1.500",
+		time.Second - 1:         "0.999",
+		minDeadline:             "0.001",
+	} {
+		want := "POST /api/a%2Fb?x=1&y=%20 HTTP/1.1\r\nHost: app.svc\r\nContent-Length: 4\r\n" +
+			"Idempotency-Key: k\r\nX-Request-Id: q\r\nX-Deadline: " + deadline + "\r\n\r\nbody"
+		if got := encoded.withDeadline(timeLeft); string(got) != want {
+			t.Errorf("with %v left: %q, want %q", timeLeft, got, want)
+		}
+	}
+}
