--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -19,11 +19,12 @@
 }
 
 // Attempt sends r to an endpoint once and waits for the response until ctx
-// ends. ctx must have a deadline, which the endpoint is told as the time left.
+// ends. ctx must have a deadline; the time left until then goes along as the
+// deadline header.
 //
-// Once startCtx has ended, a request that has not begun to be written is not
-// sent. That cancels no work of an endpoint, so it needs no permission of the
-// settings as the end of ctx does.
+// Once startCtx has ended, a request of which nothing has been written is not
+// sent any more. That cancels no work of the endpoint, so a caller may end
+// startCtx even if the settings do not allow attempts to be canceled.
 //
 // When Attempt returns, its connection is closed or back in the pool, so that a
 // further attempt cannot overlap it.
@@ -46,8 +47,8 @@
 		return failedUnsent(dialCtx, id, StepDial, err)
 	}
 
-	// This comes ahead of the check of startCtx, or a request could be both
-	// rejected as never sent and sent.
+	// This comes ahead of the check of startCtx, or a request could be sent after
+	// its client was answered that it was not.
 	r.mayBeSent.Store(true)
 	timeLeft := time.Until(deadline)
 	// The dial may have taken a while, and this process may have been held up.
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -14,22 +14,22 @@
 	"bankshift/internal/sockets"
 )
 
-// holdEachDial gives each dial of a pool a gate of its own: it goes on as the
-// gate is closed. gates gets them in the order in which dials begin, and nil
-// for a dial that is canceled.
-func holdEachDial(p *Pool) (gates chan chan struct{}) {
-	gates = make(chan chan struct{}, 10)
+// holdEachDial makes each dial of a pool wait for a channel of its own to be
+// closed. releases gets these channels in the order in which the dials begin,
+// and nil for a dial that is canceled.
+func holdEachDial(p *Pool) (releases chan chan struct{}) {
+	releases = make(chan chan struct{}, 10)
 	setDialHook(p, func(ctx context.Context, _ string) error {
-		gate := make(chan struct{})
-		gates <- gate
+		release := make(chan struct{})
+		releases <- release
 		select {
-		case <-gate:
+		case <-release:
 		case <-ctx.Done():
-			gates <- nil
+			releases <- nil
 		}
 		return nil
 	})
-	return gates
+	return releases
 }
 
 // awaitIdle waits until the pool holds just so many idle connections to the
@@ -58,11 +58,11 @@
 	address, received := startRecordingEndpoint(t)
 	p := newTestPool(address)
 	p.config.ConnectTimeout = testTimeout / 10 // so that the hedge comes in under a second
-	gates := holdEachDial(p)
+	releases := holdEachDial(p)
 	results := make(chan Result, 1)
 	go func() { results <- attempt(t, p, testTimeout) }()
-	first := <-gates
-	close(<-gates)
+	first := <-releases
+	close(<-releases)
 	if got := <-results; got.Outcome != balancer.OK {
 		t.Fatalf("outcome %v over the second dial, want OK", got.Outcome)
 	}
@@ -85,7 +85,7 @@
 func TestDialOutlivesItsAttempt(t *testing.T) {
 	address, _ := startRecordingEndpoint(t)
 	p := newTestPool(address)
-	gates := holdEachDial(p)
+	releases := holdEachDial(p)
 	ctx, cancel := context.WithCancel(context.Background())
 	errs := make(chan error, 3)
 	for range 3 {
@@ -94,7 +94,7 @@
 			errs <- err
 		}()
 	}
-	firstGates := []chan struct{}{<-gates, <-gates, <-gates}
+	dials := []chan struct{}{<-releases, <-releases, <-releases}
 	cancel()
 	for range 3 {
 		if err := <-errs; !errors.Is(err, context.Canceled) {
@@ -102,12 +102,12 @@
 		}
 	}
 	for range 2 {
-		if gate := <-gates; gate != nil {
+		if release := <-releases; release != nil {
 			t.Fatal("a dial began that nobody waits for")
 		}
 	}
-	for _, gate := range firstGates {
-		close(gate)
+	for _, release := range dials {
+		close(release)
 	}
 	awaitIdle(t, p, 1)
 }
@@ -117,14 +117,14 @@
 func TestEarlierDialServes(t *testing.T) {
 	address, _ := startRecordingEndpoint(t)
 	p := newTestPool(address)
-	gates := holdEachDial(p)
+	releases := holdEachDial(p)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { p.get(ctx, endpoint) }()
-	first := <-gates
+	first := <-releases
 	cancel()
 	results := make(chan Result, 1)
 	go func() { results <- attempt(t, p, testTimeout) }()
-	second := <-gates
+	second := <-releases
 	close(first)
 	if got := <-results; got.Outcome != balancer.OK {
 		t.Fatalf("outcome %v, want OK over the earlier dial", got.Outcome)
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -11,8 +11,8 @@
 
 // parseLoadReport parses the value of a load report's header, a list like
 // "inflight=7,queue=2"; nil: there is no report. Fields with unknown names are
-// skipped. A report that is malformed in any part is ignored as a whole: half a
-// report is worth less than the counts that it would replace.
+// skipped. A report that is malformed in any part is ignored as a whole, since
+// it would replace better counts by a part of them.
 func parseLoadReport(header string) *balancer.LoadReport {
 	if header == "" {
 		return nil
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -83,7 +83,7 @@
 	address   string
 	startedAt int64 // Unix time in ms
 
-	closed   bool      // a new incarnation has taken its place, or the endpoint was removed
+	closed   bool      // the endpoint was removed, or has a new incarnation
 	draining bool      // the endpoint takes no new requests
 	idle     []*conn   // the most recently used last
 	waiters  []*waiter // attempts that wait for a connection, oldest first
