--- a/balancer/action.go
+++ b/balancer/action.go
@@ -2,58 +2,58 @@
 
 import "time"
 
-// Action is something that the caller is to do. The types below are all there are.
+// Action is something that the caller must do. The types below are all there are.
 type Action interface{ action() }
 
 // Actions.
 type (
-	// Send starts an attempt. A request's attempts count 0, 1, 2 in this order.
+	// Send starts an attempt. A request's attempts are numbered 0, 1, 2 and so on, in the order of their sends.
 	Send struct {
 		ID          RequestID
 		Endpoint    EndpointID
 		Timeout     time.Duration // 0: until the client stops waiting
-		StartWithin time.Duration // its first byte may leave for so long; 0: for as long as the attempt lasts
+		StartWithin time.Duration // its first byte must leave within this time; 0: at any time during the attempt
 	}
-	// Reject is a final answer: the request had no effect, and another try does no harm.
+	// Reject is a final answer: no endpoint served the request, and another try does no harm.
 	Reject struct {
 		ID         RequestID
-		RetryAfter time.Duration // how long the client should wait; 0: no advice
+		RetryAfter time.Duration // how long the client should wait; 0: it is given no time
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is a final answer that promises nothing: the request may have run.
 	Fail struct{ ID RequestID }
 	// CancelAttempt stops waiting for an attempt.
 	CancelAttempt struct {
 		ID      RequestID
 		Attempt int
 	}
-	// SetTimer asks for a TimerFired.
+	// SetTimer requests a TimerFired with this token.
 	SetTimer struct {
 		After time.Duration
 		Token int64
 	}
-	// HealthCheck asks an endpoint for its load.
+	// HealthCheck requests an endpoint's load report.
 	HealthCheck struct{ Endpoint EndpointID }
-	// SendMessage goes to one node, or to all.
+	// SendMessage sends data to one node, or to all.
 	SendMessage struct {
 		To    int
 		ToAll bool
 		Data  []byte
 	}
-	// Subscribe asks discovery for changes from now on, or stops them.
+	// Subscribe starts or ends the subscription to changes of the endpoint list.
 	Subscribe struct{ On bool }
-	// FetchEndpoints asks discovery for the full endpoint list once.
+	// FetchEndpoints polls discovery for the full endpoint list once.
 	FetchEndpoints struct{}
 	// CloseIdleConnections closes this node's idle connections to an endpoint.
 	CloseIdleConnections struct{ Endpoint EndpointID }
-	// EndpointEjected tells the operators that an endpoint gets only trial requests from now on.
+	// EndpointEjected is for the log: an endpoint gets only trial requests from now on.
 	EndpointEjected struct {
 		Endpoint EndpointID
 		Reason   string
 	}
-	// EndpointRecovered tells the operators that an ejected endpoint has answered a request.
+	// EndpointRecovered is for the log: an ejected endpoint has served a request.
 	EndpointRecovered struct {
 		Endpoint  EndpointID
-		SlowStart bool // it may have restarted, and is taken to be warming up
+		SlowStart bool // it warms up, as it may have restarted
 	}
 )
 
--- a/balancer/event.go
+++ b/balancer/event.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Time is a reading of the caller's monotonic clock. Its zero has no meaning.
+// Time is a reading of the caller's monotonic clock, which starts at any time.
 type Time = time.Duration
 
-// EndpointID names an endpoint, RequestID one try of a client's request. Both are opaque.
-type (
-	EndpointID uint32
-	RequestID  string
-)
+// EndpointID identifies an endpoint. It is opaque.
+type EndpointID uint32
+
+// RequestID identifies one try of a client's request. It is opaque.
+type RequestID string
 
-// EndpointState is what discovery says of an endpoint.
+// EndpointState is the state of an endpoint according to discovery.
 type EndpointState int
 
 const (
 	// Ready endpoints take requests.
 	Ready EndpointState = iota
-	// Draining endpoints finish what they have and want nothing new.
+	// Draining endpoints finish the requests that they have and take no others.
 	Draining
-	// Removed endpoints have left the endpoint list.
+	// Removed endpoints are no longer on the endpoint list.
 	Removed
 )
 
@@ -31,24 +31,24 @@
 	Cell        int
 	State       EndpointState
 	Weight      float64 // capacity relative to other endpoints
-	StartedAt   Time    // 0: long ago
+	StartedAt   Time    // start of its process; 0: long ago
 }
 
 // UpdateKind is the form of an EndpointUpdate.
 type UpdateKind int
 
 const (
-	// IncrementalUpdate holds only the entries that changed.
+	// IncrementalUpdate has only the entries that changed.
 	IncrementalUpdate UpdateKind = iota
-	// FullUpdate holds all entries; an endpoint that is not among them has been removed.
+	// FullUpdate has all entries; an endpoint that is not among them has been removed.
 	FullUpdate
-	// CachedUpdate is a full list as this node had it last; it may be old.
+	// CachedUpdate has all entries as this node had them last; they may be out of date.
 	CachedUpdate
-	// FailedUpdate holds no entries: a poll failed or the subscription broke.
+	// FailedUpdate has no entries: a poll failed or the subscription broke.
 	FailedUpdate
 )
 
-// Outcome tells how an attempt or a health check ended.
+// Outcome is how an attempt or a health check ended.
 type Outcome int
 
 const (
@@ -56,24 +56,24 @@
 	OK Outcome = iota
 	// ServerError means that the endpoint failed; the request may have run.
 	ServerError
-	// Rejected means that the endpoint turned the request away unexecuted.
+	// Rejected means that the endpoint rejected the request without executing it.
 	Rejected
-	// TimedOut means that no response came in time; the request may have run, or may run yet.
+	// TimedOut means that no response came in time; the request may have run, or may still run.
 	TimedOut
 	// ConnectFailed means that the request was never sent.
 	ConnectFailed
 	// Reset means that the connection broke; the request may have run.
 	Reset
-	// Canceled means that the attempt was given up; the request may have run.
+	// Canceled means that this node gave the attempt up; the request may have run.
 	Canceled
-	// NotSent means that the request was never sent, and that this is not the endpoint's fault: the request was
-	// over, or this node lacked something.
+	// NotSent means that the request was never sent for a reason that is not the endpoint's: the request was over,
+	// or this node lacked a resource.
 	NotSent
-	// BadRequest means that no endpoint can use the request, which is its client's fault; it may have run.
+	// BadRequest means that no endpoint could process the request, because of the client; it may have run.
 	BadRequest
 )
 
-// String gives the outcome's name for logs.
+// String returns the outcome's name for logs.
 func (o Outcome) String() string {
 	names := [...]string{OK: "ok", ServerError: "server error", Rejected: "rejected", TimedOut: "timed out",
 		ConnectFailed: "connect failed", Reset: "connection reset", Canceled: "canceled", NotSent: "not sent",
@@ -84,21 +84,24 @@
 	return names[o]
 }
 
-// mayHaveRun tells whether a request may have been executed by an attempt with this outcome.
+// mayHaveRun reports whether an attempt with this outcome may have executed the request.
 func (o Outcome) mayHaveRun() bool {
 	return o != Rejected && o != ConnectFailed && o != NotSent
 }
 
-// LoadReport is an endpoint's own account of its load. It is late and not exact.
+// LoadReport is an endpoint's load as it reports it itself. It is late and not exact.
 type LoadReport struct {
-	InFlight, Queued       float64 // requests held; of these, requests waiting
-	HasInFlight, HasQueued bool
-	Utilization            float64 // 0 if absent
-	ServiceTime            time.Duration
-	Rate, ErrorRate        float64 // per second
+	InFlight    float64 // requests held, where HasInFlight
+	Queued      float64 // of these, requests waiting, where HasQueued
+	HasInFlight bool
+	HasQueued   bool
+	Utilization float64 // 0 if absent
+	ServiceTime time.Duration
+	Rate        float64 // requests per second
+	ErrorRate   float64 // errors per second
 }
 
-// Event is something that happened. The types below are all there are.
+// Event is something that has happened. The types below are all there are.
 type Event interface{ event() }
 
 // Events.
@@ -109,38 +112,38 @@
 		ID          RequestID
 		Class       string
 		Tenant      string
-		Key         string        // the subject of the request, where requests carry one
+		Key         string        // what the request is about, for affinity; empty if it carries none
 		Timeout     time.Duration // until the client stops waiting for this try
 		WorkHint    time.Duration // expected work, where HasWorkHint
 		HasWorkHint bool
 		IsRetry     bool // the client has tried before
 		Write       bool
 	}
-	// EndpointUpdate is a change of the endpoint list, or a failure to get it.
+	// EndpointUpdate is an update of the endpoint list, or a failure to get one.
 	EndpointUpdate struct {
 		Kind      UpdateKind
 		Version   uint64
 		Endpoints []Endpoint
 	}
-	// AttemptEnded tells how one attempt went. Each Send gets one.
+	// AttemptEnded is the outcome of an attempt. Each Send is followed by one.
 	AttemptEnded struct {
 		ID          RequestID
 		Attempt     int
 		Endpoint    EndpointID
 		RequestDone bool // the request has had its final answer
 		Elapsed     time.Duration
-		SinceSent   time.Duration // of Elapsed, since the request's last byte left; 0: all of it
+		SinceSent   time.Duration // the part of Elapsed since the request's last byte left; 0: all of it
 		Outcome     Outcome
 		Report      *LoadReport // nil if none came
 	}
-	// StreamStarted tells that a streamed response has begun.
+	// StreamStarted is the start of a streamed response.
 	StreamStarted struct {
 		ID       RequestID
 		Attempt  int
 		Endpoint EndpointID
 		Elapsed  time.Duration
 	}
-	// RequestAbandoned tells that the client has gone; nothing is owed to it.
+	// RequestAbandoned means that the client has left; it needs no answer.
 	RequestAbandoned struct{ ID RequestID }
 	// HealthCheckEnded is the result of a HealthCheck.
 	HealthCheckEnded struct {
@@ -149,12 +152,12 @@
 		Elapsed  time.Duration
 		Report   *LoadReport // nil if none came
 	}
-	// MessageReceived comes from another node.
+	// MessageReceived is a message from another node. It is ignored.
 	MessageReceived struct {
 		From int
 		Data []byte
 	}
-	// TimerFired answers a SetTimer.
+	// TimerFired means that the time of a SetTimer is over.
 	TimerFired struct{ Token int64 }
 )
 
--- a/balancer/package_test.go
+++ b/balancer/package_test.go
@@ -1,6 +1,6 @@
 package balancer
 
-// What holds for the package as a whole.
+// Checks of the package as a whole.
 
 import (
 	"go/parser"
@@ -10,9 +10,10 @@
 	"slices"
 	"strings"
 	"testing"
+	"unicode/utf8"
 )
 
-// policyFiles lists the files that hold the decisions, as the deploy file names them.
+// policyFiles returns the files that hold the decisions, as the deploy file names them.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -28,7 +29,7 @@
 	return names
 }
 
-// sourceFiles lists the package's files but for its tests.
+// sourceFiles returns the package's files without its tests.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	names, err := filepath.Glob("*.go")
@@ -56,7 +57,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, banned := range []string{"time.Now", "time.Since", "time.Until", "time.After", "time.Sleep", "time.NewT", "time.Tick", "fmt.Print", "\tgo "} {
+		for _, banned := range []string{
+			"time.Now", "time.Since", "time.Until", "time.After", "time.Sleep", "time.NewT", "time.Tick",
+			"fmt.Print", "\tgo ",
+		} {
 			if strings.Contains(string(text), banned) {
 				t.Errorf("%s has %q", name, banned)
 			}
@@ -64,6 +68,25 @@
 	}
 }
 
+// The files stay readable: no line is longer than maxLineLength characters.
+func TestLinesAreShort(t *testing.T) {
+	const maxLineLength = 120
+	for _, name := range sourceFiles(t) {
+		text, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		number := 0
+		for line := range strings.Lines(string(text)) {
+			number++
+			length := utf8.RuneCountInString(strings.TrimSuffix(line, "\n"))
+			if length > maxLineLength {
+				t.Errorf("%s:%d has %d characters, at most %d are allowed", name, number, length, maxLineLength)
+			}
+		}
+	}
+}
+
 // The deploy file names each file of the decisions, and no other.
 func TestDeployFileListsThePolicy(t *testing.T) {
 	var want []string
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -54,56 +54,75 @@
 	QuotaFraction float64 // the quota as a part of all traffic, as the settings state it
 }
 
-// Settings is what a node is told at its start. Fields without a unit in their comment are counts, names or plain
-// ratios.
+// Settings describe the node, the service and the rules. Fields without a unit in their comment are counts, names or
+// plain ratios.
 type Settings struct {
-	Nodes        int    // how many nodes balance over these endpoints
-	NodeIndex    int    // this node's number among them, from 0
-	Zone         string // this node's zone
-	Zones        []string
-	MachineTypes []string
-	Classes      []Class
-	Tenants      []Tenant
-
-	MaxAttempts           int           // for one request
-	HedgingAllowed        bool          // two attempts of a request may be in flight at once
-	CancelAllowed         bool          // CancelAttempt is allowed
-	HealthChecksAllowed   bool          // HealthCheck is allowed
-	GossipAllowed         bool          // SendMessage is allowed
-	RetryAfterAllowed     bool          // clients are told Reject.RetryAfter
-	MaxRetryAfter         time.Duration // the longest Retry-After that clients follow
-	ClientsMarkRetries    bool          // RequestArrived.IsRetry is set
+	// The node.
+	Nodes     int // nodes that balance over the same endpoints
+	NodeIndex int // this node's number among them, from 0
+	Zone      string
+
+	// The service.
+	ServiceFamily string // the kind of service
+	Zones         []string
+	MachineTypes  []string
+	Tiers         []string
+	Tier          int // the tier that this node sends to, as an index of Tiers
+	Classes       []Class
+	Tenants       []Tenant
+
+	// What this node may do.
+	MaxAttempts         int  // for one request
+	HedgingAllowed      bool // two attempts of a request may be in flight at once
+	CancelAllowed       bool // CancelAttempt is allowed
+	HealthChecksAllowed bool // HealthCheck is allowed
+	GossipAllowed       bool // SendMessage is allowed
+
+	// Clients.
+	RetryAfterAllowed  bool          // clients are given Reject.RetryAfter
+	MaxRetryAfter      time.Duration // the longest Retry-After that clients follow
+	ClientsMarkRetries bool          // RequestArrived.IsRetry is set
+
+	// What requests are worth.
+	OverQuotaWeight float64 // value of a request over its tenant's quota, as a part of the class's
+	PriorityByWork  bool    // priority weights count per unit of work, not per request
+	Goal            Goal
+	Costs           Costs
+
+	// The endpoint list.
+	EndpointsOnDemand bool // endpoint updates come only after Subscribe or FetchEndpoints
+	WeightKnown       bool // Endpoint.Weight depends on the machine's capacity
+	WeightApproximate bool // it is not exact
+	WeightDynamic     bool // it falls as the endpoint fills up
+
+	// Load reports.
+	LoadReportSource LoadReportSource
+	LoadReportFields []string // names of the values in them
+
+	// Connections and calls.
 	ConnectTimeout        time.Duration
-	MinEventInterval      time.Duration    // events come no closer together than this
-	EndpointsOnDemand     bool             // endpoint updates come only after Subscribe or FetchEndpoints
-	WeightKnown           bool             // Endpoint.Weight says something about the machine's capacity
-	WeightApproximate     bool             // it is not exact
-	WeightDynamic         bool             // it falls as the endpoint fills up
-	OverQuotaWeight       float64          // value of a request over its tenant's quota, as a part of the class's
-	PriorityByWork        bool             // priority weights count per unit of work, not per request
-	LoadReportSource      LoadReportSource // where load reports come from
-	LoadReportFields      []string         // names of the values in them
-	ServiceFamily         string           // the kind of service
-	Tier                  int              // the tier that this node sends to, as an index of Tiers
-	Tiers                 []string
-	KeyAffinity           bool          // an endpoint that has lately seen a key needs less work for it
-	PropagatesDeadline    bool          // an endpoint's calls to the next tier carry what is left of the deadline
 	StreamsPerConnection  int           // attempts that one connection carries at once
 	IdleConnectionTimeout time.Duration // endpoints close a connection that has been idle for this long
-	MaxOpenRequests       int           // requests that this node may have open; 0: no limit
-	CPUPerSecond          time.Duration // processor time that this node may spend on decisions each second; 0: no limit
-	CPUPerRequest         time.Duration // the same for one request with its outcomes; 0: no limit
-	Goal                  Goal
-	Costs                 Costs
+	KeyAffinity           bool          // an endpoint that has lately seen a key needs less work for it
+	PropagatesDeadline    bool          // an endpoint's calls to the next tier carry what is left of the deadline
+
+	// Limits of this node.
+	MinEventInterval time.Duration // events come no closer together than this
+	MaxOpenRequests  int           // requests that it may have open; 0: no limit
+	CPUPerSecond     time.Duration // processor time for decisions in each second; 0: no limit
+	CPUPerRequest    time.Duration // the same for one request with its outcomes; 0: no limit
 
+	// Time limits.
 	ResponseSlack     time.Duration // a final answer this long past the deadline still counts
 	PollInterval      time.Duration // without a subscription, poll for the endpoint list at least this often
 	DrainGrace        time.Duration // sends to a draining endpoint must have stopped by then
 	DrainCloseTimeout time.Duration // idle connections to it must be closed by then; 0: no such rule
+
+	// Slow start.
 	SlowStartCapacity float64       // part of its capacity, 0 to 1, with which an endpoint starts at least
 	SlowStartDuration time.Duration // a started endpoint has its full capacity after this time
-	OverloadFactor    float64       // a warming-up endpoint collapses beyond this multiple of its capacity
-	OverloadDuration  time.Duration // when that lasts for this long
+	OverloadFactor    float64       // an endpoint that warms up collapses beyond this multiple of its capacity
+	OverloadDuration  time.Duration // if that lasts for this long
 }
 
 // Goal weighs the parts of the result by which the operators judge a fleet.
