--- /dev/null
+++ b/balancer/endpoints_test.go
@@ -0,0 +1,26 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// Endpoints are replaced for months: those that were removed are forgotten, and so are requests.
+func TestRemovedEndpointsAreForgotten(t *testing.T) {
+	node := newCheckingNode(lowHealthCheckCost)
+	for i := range 5000 {
+		node.Handle(node.now+time.Second, EndpointUpdate{Kind: IncrementalUpdate, Endpoints: []Endpoint{
+			{ID: EndpointID(i + 100), State: Ready, StartedAt: node.now},
+			{ID: EndpointID(i + 99), State: Removed},
+		}})
+		id := RequestID(fmt.Sprint(i))
+		node.Handle(node.now, RequestArrived{ID: id, Class: "page", Timeout: time.Second})
+		node.Handle(node.now+2*time.Second, TimerFired{})
+	}
+	if len(node.endpointsByID) > 25 || len(node.endpoints) > 25 ||
+		len(node.requests) > 2 || len(node.openRequests) > 2 || len(node.awaitingChecks) > 2 {
+		t.Errorf("%d endpoints known, %d requests, %d open, %d awaiting health checks",
+			len(node.endpointsByID), len(node.requests), len(node.openRequests), len(node.awaitingChecks))
+	}
+}
--- /dev/null
+++ b/balancer/helpers_test.go
@@ -0,0 +1,92 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+// Helpers of the tests that look inside a Balancer.
+
+// newNode returns the balancer of one of many nodes, which knows the endpoints 1 to n.
+func newNode(index, nodes, endpoints int) *Balancer {
+	settings := Settings{
+		Nodes:             nodes,
+		NodeIndex:         index,
+		MaxAttempts:       3,
+		MinEventInterval:  5 * time.Millisecond,
+		SlowStartCapacity: 0.3,
+		SlowStartDuration: 8 * time.Second,
+		OverloadFactor:    2.5,
+		ConnectTimeout:    100 * time.Millisecond,
+		Classes: []Class{{
+			Name:             "page",
+			PriorityWeight:   1,
+			LatencyObjective: time.Second,
+			Deadline:         2 * time.Second,
+			Idempotency:      Idempotent,
+		}},
+	}
+	node := New(settings, int64(index))
+	node.Handle(time.Hour, EndpointUpdate{Kind: CachedUpdate, Endpoints: readyEndpoints(endpoints)})
+	return node
+}
+
+// readyEndpoints returns the endpoints 1 to n.
+func readyEndpoints(n int) []Endpoint {
+	var endpoints []Endpoint
+	for i := range n {
+		endpoints = append(endpoints, Endpoint{ID: EndpointID(i + 1), Zone: "z"})
+	}
+	return endpoints
+}
+
+// newAggregatedNode returns one of many nodes, which has a response of 100 ms every two seconds from each endpoint of its
+// subset, and therefore judges the subset as a whole.
+func newAggregatedNode(t *testing.T) *Balancer {
+	t.Helper()
+	node := newNode(1, 360, 60)
+	node.learned = true
+	node.latency.mean = 0.1
+	node.uncrowdedLatency = 0.1
+	node.tightestObjective = 1
+	node.meanThroughput = 0.5
+	node.peakThroughput = 0.5
+	subset := node.placements[0].subset
+	for _, endpoint := range subset {
+		endpoint.throughput.set(0.5, node.now)
+		endpoint.listedAt = node.now - time.Hour
+		endpoint.overloadThreshold = node.overloadThreshold(endpoint)
+	}
+	node.updateAggregate(node.placements[0])
+	if !node.placements[0].aggregated {
+		t.Fatalf("H is %v, and the subset is not judged as a whole", node.overloadThreshold(subset[0]))
+	}
+	return node
+}
+
+// attemptAt returns a request of the node's first class with one attempt, at the endpoint.
+func attemptAt(node *Balancer, endpoint *endpoint) *request {
+	return &request{class: node.classOrder[0], relativeWork: 1, attempts: []attempt{{endpoint: endpoint}}}
+}
+
+// sends returns the endpoints of the attempts among the actions.
+func sends(actions []Action) []EndpointID {
+	var endpoints []EndpointID
+	for _, action := range actions {
+		if send, ok := action.(Send); ok {
+			endpoints = append(endpoints, send.Endpoint)
+		}
+	}
+	return endpoints
+}
+
+// healthChecks returns the endpoints of the health checks among the actions.
+func healthChecks(actions []Action) []EndpointID {
+	var endpoints []EndpointID
+	for _, action := range actions {
+		if check, ok := action.(HealthCheck); ok {
+			endpoints = append(endpoints, check.Endpoint)
+		}
+	}
+	return endpoints
+}
--- /dev/null
+++ b/balancer/latency_test.go
@@ -0,0 +1,46 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+// One of many nodes has too few responses from one endpoint to know it, but many from its machine type. By the fleet's
+// mean, a slow machine would look as good as a fast one whenever it has not responded for a while.
+func TestUnknownEndpointIsExpectedToBeLikeItsMachineType(t *testing.T) {
+	settings := Settings{
+		Nodes:        80,
+		MachineTypes: []string{"fast", "slow"},
+		Classes:      []Class{{Name: "page", PriorityWeight: 1, LatencyObjective: 2 * time.Second}},
+	}
+	node := New(settings, 1)
+	node.now = time.Hour
+	update := EndpointUpdate{Kind: FullUpdate}
+	for id := range EndpointID(8) { // even ones are fast
+		machineType := settings.MachineTypes[id%2]
+		update.Endpoints = append(update.Endpoints, Endpoint{ID: id, MachineType: machineType, State: Ready})
+	}
+	node.applyEndpoints(update)
+	latencies := func(fast, slow EndpointID) (float64, float64) {
+		return node.latencyOf(node.endpointsByID[fast]), node.latencyOf(node.endpointsByID[slow])
+	}
+	if fast, slow := latencies(6, 7); fast != slow {
+		t.Error("machine types differ before anything is known of them")
+	}
+	for i := range 200 { // only the first six respond
+		node.now += 50 * time.Millisecond
+		endpoint := node.endpointsByID[EndpointID(i%6)]
+		latency := 40 * time.Millisecond
+		if i%2 == 1 {
+			latency = 120 * time.Millisecond
+		}
+		node.recordOutcome(endpoint, attemptAt(node, endpoint), AttemptEnded{Elapsed: latency})
+	}
+	if fast, slow := latencies(6, 7); slow < 2*fast {
+		t.Errorf("%.3f s is expected of the fast and %.3f s of the slow, want about three times as much", fast, slow)
+	}
+	node.now += time.Minute
+	if fast, slow := latencies(0, 1); slow < 2*fast {
+		t.Errorf("a minute later %.3f s and %.3f s are expected of those that responded", fast, slow)
+	}
+}
--- /dev/null
+++ b/balancer/outlier_test.go
@@ -0,0 +1,145 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A timeout that came early, because a slow connection or a first attempt had left little time, proves nothing; one
+// that came after the time that responses take does.
+func TestEarlyTimeoutIsInconclusive(t *testing.T) {
+	for _, c := range []struct {
+		sinceSent  time.Duration
+		conclusive bool
+	}{
+		{190 * time.Millisecond, false},
+		{210 * time.Millisecond, true},
+		{0, true}, // not known
+	} {
+		node := newAggregatedNode(t)
+		endpoint := node.placements[0].subset[0]
+		node.latency.mean = 0.1
+		endpoint.machineType.recentLatency.mean = 0.1
+		endpoint.excessLatency.value = 0
+		outcome := AttemptEnded{Outcome: TimedOut, Elapsed: time.Second, SinceSent: c.sinceSent}
+		node.recordOutcome(endpoint, attemptAt(node, endpoint), outcome)
+		overloaded := node.updateMode(node.placements[0], endpoint) == Overloaded
+		if overloaded != c.conclusive || (endpoint.consecutiveFailures > 0) != c.conclusive {
+			t.Errorf("%v without a response: overloaded %v, %d failures; want conclusive %v",
+				c.sinceSent, overloaded, endpoint.consecutiveFailures, c.conclusive)
+		}
+	}
+}
+
+// An ejected endpoint that was silent may have restarted, and warms up when it is back. One that answered each request
+// with an error has not: if the endpoints of a fleet that all failed for a second warmed up, it would reject most of its
+// traffic for long.
+func TestErrorsAreNoRestart(t *testing.T) {
+	for _, outcome := range []Outcome{ServerError, TimedOut, ConnectFailed} {
+		node := newAggregatedNode(t)
+		endpoint := node.placements[0].subset[0]
+		request := attemptAt(node, endpoint)
+		request.trial = true
+		for range minUnansweredSends + minConsecutiveFailures {
+			endpoint.unansweredSends++
+			node.recordOutcome(endpoint, request, AttemptEnded{Outcome: outcome, Elapsed: time.Second})
+		}
+		if !endpoint.ejected || (endpoint.unansweredSends == 0) != (outcome == ServerError) {
+			t.Fatalf("outcome %v: ejected %v, %d unanswered", outcome, endpoint.ejected, endpoint.unansweredSends)
+		}
+		node.recordOutcome(endpoint, request, AttemptEnded{Outcome: OK, Elapsed: time.Second})
+		if want := outcome != ServerError; endpoint.ejected || endpoint.warmingUp != want {
+			t.Errorf("after outcome %v: ejected %v, warming up %v, want %v",
+				outcome, endpoint.ejected, endpoint.warmingUp, want)
+		}
+	}
+}
+
+// With many ejected endpoints, trial requests must stay a small part of the traffic: each delays a request and costs a
+// connection.
+func TestTrialsAreFew(t *testing.T) {
+	node := newNode(1, 360, 60)
+	for _, endpoint := range node.endpoints[:20] {
+		node.eject(endpoint, "test")
+	}
+	trials := 0
+	for i := range 400 {
+		id := RequestID(fmt.Sprint(i))
+		arrived := RequestArrived{ID: id, Class: "page", Timeout: 2 * time.Second}
+		node.Handle(node.now+100*time.Millisecond, arrived)
+		if request := node.requests[id]; request != nil && request.trial {
+			trials++
+		}
+	}
+	if trials < 5 || trials > 25 {
+		t.Errorf("%d trials in 400 requests", trials)
+	}
+}
+
+// What a client did wrong, or this node could not do, is no failure of the endpoint; and the first ends the request.
+func TestOutcomesThatAreNoFailure(t *testing.T) {
+	for _, outcome := range []Outcome{BadRequest, NotSent} {
+		node := New(Settings{Nodes: 2, MaxAttempts: 9, Classes: []Class{
+			{Name: "page", PriorityWeight: 1, LatencyObjective: 2 * time.Second, Idempotency: Idempotent},
+		}}, 1)
+		update := EndpointUpdate{Kind: FullUpdate}
+		for id := range EndpointID(9) {
+			update.Endpoints = append(update.Endpoints, Endpoint{ID: id, State: Ready})
+		}
+		node.Handle(time.Hour, update)
+		sent, answered := 0, 0
+		for i := range 50 {
+			id := RequestID(fmt.Sprint(i))
+			actions := node.Handle(node.now, RequestArrived{ID: id, Class: "page", Timeout: time.Second})
+			for len(actions) > 0 {
+				action := actions[0]
+				switch action := action.(type) {
+				case Send:
+					sent++
+					actions = append(actions, node.Handle(node.now, AttemptEnded{
+						ID:       id,
+						Attempt:  len(node.requests[id].attempts) - 1,
+						Endpoint: action.Endpoint,
+						Outcome:  outcome,
+					})...)
+				case Fail, Reject:
+					answered++
+				}
+				actions = actions[1:]
+			}
+		}
+		for _, endpoint := range node.endpoints {
+			if endpoint.consecutiveFailures > 0 || endpoint.ejected || endpoint.unansweredSends > 0 {
+				t.Errorf("outcome %v: %d failures, ejected %v, %d unanswered",
+					outcome, endpoint.consecutiveFailures, endpoint.ejected, endpoint.unansweredSends)
+			}
+		}
+		if answered != 50 || outcome == BadRequest && sent != 50 {
+			t.Errorf("outcome %v: %d sends and %d final answers for 50 requests", outcome, sent, answered)
+		}
+	}
+}
+
+// If all endpoints fail alike, a few failures in a row eject none.
+func TestFailuresThatAreChance(t *testing.T) {
+	for _, c := range []struct {
+		failureShare float64
+		ejected      bool
+	}{
+		{0.001, true},
+		{0.1, false},
+	} {
+		node := New(Settings{Nodes: 2}, 1)
+		node.Handle(time.Hour, EndpointUpdate{Kind: FullUpdate})
+		node.failureShare = c.failureShare
+		failing := &endpoint{}
+		for range minConsecutiveFailures {
+			node.recordFailure(failing, ServerError)
+		}
+		if failing.ejected != c.ejected {
+			t.Errorf("%d failures in a row where %v of all attempts fail: ejected %v",
+				minConsecutiveFailures, c.failureShare, failing.ejected)
+		}
+	}
+}
--- /dev/null
+++ b/balancer/slowstart_test.go
@@ -0,0 +1,90 @@
+package balancer
+
+import (
+	"math"
+	"slices"
+	"testing"
+	"time"
+)
+
+// If thirty nodes had a whole send each for an endpoint that has just started, the burst would push it over; the same
+// holds later, after a quiet time. Each has its turn, and what they hold at any time is no more than they are given in a
+// second.
+func TestSlowStartBudgetsOfManyNodes(t *testing.T) {
+	const nodes, stepsPerSecond, seconds = 36, 100, 90
+	var fleet []*Balancer
+	for index := range nodes {
+		node := newNode(index, 360, 60)
+		node.learned = true
+		node.latency.mean = 0.1
+		node.meanThroughput = 0.5
+		node.peakThroughput = 0.5
+		node.uncrowdedLatency = 0.1
+		node.tightestObjective = 1
+		node.settings.SlowStartDuration = 1e6 * time.Hour // it gets no warmer
+		endpoint := node.endpointByID(1)
+		endpoint.inSubset = true
+		node.startWarmup(endpoint, node.now)
+		fleet = append(fleet, node)
+	}
+	held := make([]int, seconds*stepsPerSecond) // nodes that may send, at each step
+	turns := make([]int, nodes)
+	for step := range held {
+		for index, node := range fleet {
+			endpoint := node.endpointsByID[1]
+			if step > 0 {
+				node.now += time.Second / stepsPerSecond
+			}
+			if !node.slowStartExhausted(endpoint) {
+				held[step]++
+				turns[index]++
+			}
+			if endpoint.slowStartBudget.tokens >= 2 {
+				t.Fatalf("node %d saved up %v sends", index, endpoint.slowStartBudget.tokens)
+			}
+		}
+	}
+	first := fleet[0]
+	warmth := first.warmth(first.endpointsByID[1])
+	given := nodes * slowStartGrowth * first.settings.OverloadFactor * warmth * first.meanThroughput
+	mean := 0.0
+	for _, n := range held {
+		mean += float64(n) / float64(len(held))
+	}
+	most := slices.Max(held)
+	if held[0] > 4 || mean > 1.1*given+1 || most > int(given+3*math.Sqrt(given)+1) {
+		t.Errorf("%d may send at the start, %.1f on average, %d at most; they are given %.1f a second",
+			held[0], mean, most, given)
+	}
+	for index, n := range turns {
+		if n == 0 {
+			t.Errorf("node %d has no turn in %d s", index, seconds)
+		}
+	}
+}
+
+// If most endpoints are ejected (idle connections dropped, slow handshakes), the subsets of all nodes widen to the few
+// that are not, those just restarted first: together the nodes would push such an endpoint over.
+func TestWarmingUpEndpointIsLeftToItsOwnNodes(t *testing.T) {
+	const nodes = 360
+	senders := 0
+	for index := range nodes {
+		node := newNode(index, nodes, 60)
+		for _, endpoint := range node.endpoints {
+			if endpoint.ID != 1 {
+				node.eject(endpoint, "test")
+			}
+		}
+		node.Handle(node.now, EndpointUpdate{Kind: IncrementalUpdate, Endpoints: []Endpoint{
+			{ID: 1, Zone: "z", StartedAt: node.now},
+		}})
+		restarted := node.endpointsByID[1]
+		restarted.slowStartBudget.tokens = 1
+		if !node.slowStartExhausted(restarted) {
+			senders++
+		}
+	}
+	if senders < 20 || senders > 40 {
+		t.Errorf("%d of %d nodes may send to an endpoint that has just started, want about 30", senders, nodes)
+	}
+}
