--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Command simhost hosts instances of the decision module on the simulator's
-// wire: a batch of events a line on standard input, a reply a line on standard
-// output.
+// Command simhost runs balancers for the simulator: it reads a batch of events a
+// line from standard input and writes a line with the balancers' actions to
+// standard output.
 package main
 
 import (
@@ -14,6 +14,9 @@
 	"bankshift/internal/simwire"
 )
 
+// bufferSize is the size in bytes of each of the two buffers.
+const bufferSize = 1 << 20
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
@@ -21,56 +24,70 @@
 	}
 }
 
+// run answers each line until the input ends or a line is malformed.
 func run(in io.Reader, out io.Writer) error {
-	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	nodes := map[int]*balancer.Balancer{}
+	reader := bufio.NewReaderSize(in, bufferSize)
+	writer := bufio.NewWriterSize(out, bufferSize)
+	nodes := host{}
 	var reply []byte
 	for number := 1; ; number++ {
-		line, err := r.ReadBytes('\n')
+		line, err := reader.ReadBytes('\n')
 		if errors.Is(err, io.EOF) && len(line) == 0 {
 			return nil
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
-		replies, err := answer(nodes, line)
+		replies, err := nodes.handle(line)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
 		reply = simwire.AppendReply(reply[:0], replies)
-		if _, err := w.Write(reply); err != nil {
+		if _, err := writer.Write(reply); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
-func answer(nodes map[int]*balancer.Balancer, line []byte) ([]simwire.Reply, error) {
+// host holds the balancers of the running nodes, by the node's number.
+type host map[int]*balancer.Balancer
+
+// handle gives each node its part of a batch.
+func (h host) handle(line []byte) ([]simwire.Reply, error) {
 	batch, err := simwire.DecodeBatch(line)
 	if err != nil {
 		return nil, err
 	}
 	var replies []simwire.Reply
-	for _, g := range batch.Groups {
-		reply := simwire.Reply{Node: g.Node}
-		for i, h := range g.Events {
-			switch {
-			case h.Start != nil:
-				nodes[g.Node] = balancer.New(h.Start.Settings, h.Start.Seed)
-			case h.Retire:
-				delete(nodes, g.Node)
-				reply.Actions = nil // a dead instance does nothing
-			default:
-				m := nodes[g.Node]
-				if m == nil {
-					return nil, fmt.Errorf("node %d, event %d: no up came before it", g.Node, i)
-				}
-				reply.Actions = append(reply.Actions, m.Handle(batch.Now, h.Event)...)
-			}
+	for _, node := range batch.Nodes {
+		actions, err := h.handleNode(batch.Now, node)
+		if err != nil {
+			return nil, fmt.Errorf("node %d, %w", node.Node, err)
 		}
-		replies = append(replies, reply)
+		replies = append(replies, simwire.Reply{Node: node.Node, Actions: actions})
 	}
 	return replies, nil
 }
+
+func (h host) handleNode(now balancer.Time, node simwire.NodeInputs) ([]balancer.Action, error) {
+	var actions []balancer.Action
+	for i, input := range node.Inputs {
+		switch {
+		case input.Start != nil:
+			h[node.Node] = balancer.New(input.Start.Settings, input.Start.Seed)
+		case input.Retire:
+			delete(h, node.Node)
+			actions = nil // a node that has ended does nothing
+		default:
+			b := h[node.Node]
+			if b == nil {
+				return nil, fmt.Errorf("event %d: no up came before it", i)
+			}
+			actions = append(actions, b.Handle(now, input.Event)...)
+		}
+	}
+	return actions, nil
+}
--- /dev/null
+++ b/internal/simwire/batch_test.go
@@ -0,0 +1,105 @@
+package simwire
+
+import (
+	"errors"
+	"strings"
+	"testing"
+
+	"bankshift/internal/settings"
+)
+
+// batch is a line with these events for node 3.
+func batch(events string) string {
+	return `{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[` + events + `]}]}`
+}
+
+// decodeOne decodes the only event of a batch.
+func decodeOne(t *testing.T, event string) Input {
+	t.Helper()
+	decoded, err := DecodeBatch([]byte(batch(event)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return decoded.Nodes[0].Inputs[0]
+}
+
+func TestEmptyBatch(t *testing.T) {
+	decoded, err := DecodeBatch([]byte(`{"sim_time_ns":8412250000,"groups":[]}`))
+	if err != nil || decoded.Now != 8412250000 || len(decoded.Nodes) != 0 {
+		t.Error(decoded, err)
+	}
+	if reply := string(AppendReply(nil, nil)); reply != "{\"groups\":[]}\n" {
+		t.Errorf("an empty reply is %q", reply)
+	}
+}
+
+func TestBadInputIsNamed(t *testing.T) {
+	for line, want := range map[string]string{
+		`nonsense`:                        "batch",
+		`{"groups":[]}`:                   "sim_time_ns is missing",
+		`{"sim_time_ns":1,"groups":[{}]}`: "node_id is missing",
+		batch(`{"dance":{}}`):             "unknown event",
+		batch(`{}`):                       "want one key",
+		batch(`{"submit":{"patience_left_ns":1}}`):                                                                  "node 3, event 0, submit: req is missing",
+		batch(`{"submit":{"req":"q"}}`):                                                                             "patience_left_ns is missing",
+		batch(`{"due":{}}`):                                                                                         "label is missing",
+		batch(`{"roster_change":{"how":"Q"}}`):                                                                      "unknown how",
+		batch(`{"up":{"seed":1}}`):                                                                                  "profile_data is missing",
+		batch(`{"probe_result":{"disposition":0}}`):                                                                 "backend is missing",
+		batch(`{"attempt_end":{"req":"q","leg":0,"backend":1}}`):                                                    "disposition is missing",
+		batch(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":99}}`):                                   "unknown disposition 99",
+		batch(`{"roster_change":{"how":"F","items":[{"zone":"z","state":"ready"}]}}`):                               "backend is missing",
+		batch(`{"up":{"seed":1,"profile_data":{"classes":[{"name":"x","effect":"odd","key_scope":"all"}]}}}`):       "unknown effect",
+		batch(`{"up":{"seed":1,"profile_data":{"classes":[{"name":"x","effect":"retryable","key_scope":"odd"}]}}}`): "unknown key_scope",
+		batch(`{"up":{"seed":1,"profile_data":{"membership_mode":"odd"}}}`):                                         "unknown membership_mode",
+		batch(`{"up":{"seed":1,"profile_data":{"report":{"how":"odd"}}}}`):                                          "node 3, event 0, up: unknown report.how",
+		batch(`{"up":{"seed":1,"profile_data":{"weight_kind":"odd"}}}`):                                             "unknown weight_kind",
+		batch(`{"up":{"seed":1,"profile_data":{"worth_by":"odd"}}}`):                                                "unknown worth_by",
+		batch(`{"roster_change":{"how":"F","items":[{"backend":1,"state":"odd"}]}}`):                                "unknown state",
+	} {
+		if _, err := DecodeBatch([]byte(line)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: %v, want %q", line, err, want)
+		}
+	}
+}
+
+func TestErrorsAreTyped(t *testing.T) {
+	for _, event := range []string{`{"submit":{}}`, `{"abandoned":{}}`, `{"attempt_end":{"backend":1}}`, `{"streaming":{"backend":1}}`} {
+		var missing *MissingKeyError
+		_, err := DecodeBatch([]byte(batch(event)))
+		if !errors.As(err, &missing) || missing.Key != "req" {
+			t.Errorf("%s: error %v, want a missing req", event, err)
+		}
+	}
+	for event, want := range map[string]UnknownValueError{
+		`{"probe_result":{"backend":1,"disposition":99}}`:                         {Key: "disposition", Value: "99"},
+		`{"roster_change":{"how":"Q"}}`:                                           {Key: "how", Value: `"Q"`},
+		`{"roster_change":{"how":"F","items":[{"backend":1,"state":"missing"}]}}`: {Key: "state", Value: `"missing"`},
+	} {
+		var unknown *UnknownValueError
+		_, err := DecodeBatch([]byte(batch(event)))
+		if !errors.As(err, &unknown) || *unknown != want {
+			t.Errorf("%s: error %v, want %+v", event, err, want)
+		}
+	}
+	if _, err := DecodeBatch([]byte(batch(`{"dance":{}}`))); !errors.Is(err, ErrUnknownEvent) {
+		t.Errorf("error %v, want ErrUnknownEvent", err)
+	}
+	var invalid *settings.Error
+	_, err := DecodeBatch([]byte(batch(`{"up":{"seed":1,"profile_data":{"worth_by":"odd"}}}`)))
+	if !errors.As(err, &invalid) || invalid.Key != "worth_by" {
+		t.Errorf("error %v, want a *settings.Error", err)
+	}
+}
+
+func FuzzDecode(f *testing.F) {
+	f.Add([]byte(batch(strings.ReplaceAll(start, "\n", ""))))
+	f.Add([]byte(batch(`{"submit":{"req":"q","patience_left_ns":1}},{"due":{"label":7}},{"retire":{}}`)))
+	f.Add([]byte(batch(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":0,"feedback":{"active":1e400}}}`)))
+	f.Add([]byte(`{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[{"subm`))
+	f.Fuzz(func(t *testing.T, line []byte) {
+		if b, err := DecodeBatch(line); err == nil && b.Nodes == nil && len(line) == 0 {
+			t.Fatal("an empty line is no batch")
+		}
+	})
+}
--- /dev/null
+++ b/internal/simwire/decode.go
@@ -0,0 +1,268 @@
+package simwire
+
+import (
+	"encoding/json"
+	"strconv"
+	"time"
+
+	"bankshift/balancer"
+	"bankshift/internal/loadreport"
+)
+
+// eventDecoders holds the decoder of each event for a balancer, by the event's
+// name on the wire.
+var eventDecoders = map[string]func(json.RawMessage) (balancer.Event, error){
+	"submit":        decodeRequestArrived,
+	"attempt_end":   decodeAttemptEnded,
+	"streaming":     decodeStreamStarted,
+	"abandoned":     decodeRequestAbandoned,
+	"probe_result":  decodeHealthCheckEnded,
+	"due":           decodeTimerFired,
+	"note_from":     decodeMessageReceived,
+	"roster_change": decodeEndpointUpdate,
+}
+
+// decodeInput decodes an event by its name on the wire.
+func decodeInput(name string, raw json.RawMessage) (Input, error) {
+	switch name {
+	case "up":
+		start, err := decodeStart(raw)
+		return Input{Start: start}, err
+	case "retire":
+		return Input{Retire: true}, nil
+	}
+	decode, ok := eventDecoders[name]
+	if !ok {
+		return Input{}, ErrUnknownEvent
+	}
+	event, err := decode(raw)
+	return Input{Event: event}, err
+}
+
+// Bits of requestJSON.Flags.
+const (
+	flagWorkHint = 1
+	flagRetry    = 2
+	flagWrite    = 4
+)
+
+type requestJSON struct {
+	ID       *string `json:"req"`
+	Class    string  `json:"band"`
+	Tenant   any     `json:"user_group"` // a string, or anything else for no tenant
+	Key      string  `json:"partition_key"`
+	Timeout  *int64  `json:"patience_left_ns"`
+	WorkHint int64   `json:"cost_guess_ns"`
+	Flags    int     `json:"flags"`
+}
+
+func decodeRequestArrived(raw json.RawMessage) (balancer.Event, error) {
+	var in requestJSON
+	if err := json.Unmarshal(raw, &in); err != nil {
+		return nil, err
+	}
+	id, err := required("req", in.ID)
+	if err != nil {
+		return nil, err
+	}
+	timeout, err := required("patience_left_ns", in.Timeout)
+	if err != nil {
+		return nil, err
+	}
+	tenant, _ := in.Tenant.(string)
+	return balancer.RequestArrived{
+		ID:          balancer.RequestID(id),
+		Class:       in.Class,
+		Tenant:      tenant,
+		Key:         in.Key,
+		Timeout:     time.Duration(timeout),
+		WorkHint:    time.Duration(in.WorkHint),
+		HasWorkHint: in.Flags&flagWorkHint != 0,
+		IsRetry:     in.Flags&flagRetry != 0,
+		Write:       in.Flags&flagWrite != 0,
+	}, nil
+}
+
+// attemptJSON is the form of all that happens to attempts and health checks.
+// Each of these events uses a part of the keys.
+type attemptJSON struct {
+	ID          *string                    `json:"req"`
+	Attempt     *int                       `json:"leg"`
+	Endpoint    *uint32                    `json:"backend"`
+	RequestDone bool                       `json:"over"`
+	Elapsed     int64                      `json:"delay_seen_ns"`
+	Outcome     *int                       `json:"disposition"`
+	Report      map[string]json.RawMessage `json:"feedback"`
+}
+
+// attemptRef says which attempt an event is about.
+type attemptRef struct {
+	id       balancer.RequestID
+	number   int
+	endpoint balancer.EndpointID
+}
+
+func decodeAttemptEnded(raw json.RawMessage) (balancer.Event, error) {
+	var in attemptJSON
+	if err := json.Unmarshal(raw, &in); err != nil {
+		return nil, err
+	}
+	attempt, err := in.attempt()
+	if err != nil {
+		return nil, err
+	}
+	outcome, err := in.outcome()
+	if err != nil {
+		return nil, err
+	}
+	return balancer.AttemptEnded{
+		ID:          attempt.id,
+		Attempt:     attempt.number,
+		Endpoint:    attempt.endpoint,
+		RequestDone: in.RequestDone,
+		Elapsed:     time.Duration(in.Elapsed),
+		Outcome:     outcome,
+		Report:      decodeLoadReport(in.Report),
+	}, nil
+}
+
+func decodeStreamStarted(raw json.RawMessage) (balancer.Event, error) {
+	var in attemptJSON
+	if err := json.Unmarshal(raw, &in); err != nil {
+		return nil, err
+	}
+	attempt, err := in.attempt()
+	if err != nil {
+		return nil, err
+	}
+	return balancer.StreamStarted{
+		ID:       attempt.id,
+		Attempt:  attempt.number,
+		Endpoint: attempt.endpoint,
+		Elapsed:  time.Duration(in.Elapsed),
+	}, nil
+}
+
+func decodeHealthCheckEnded(raw json.RawMessage) (balancer.Event, error) {
+	var in attemptJSON
+	if err := json.Unmarshal(raw, &in); err != nil {
+		return nil, err
+	}
+	endpoint, err := required("backend", in.Endpoint)
+	if err != nil {
+		return nil, err
+	}
+	outcome, err := in.outcome()
+	if err != nil {
+		return nil, err
+	}
+	return balancer.HealthCheckEnded{
+		Endpoint: balancer.EndpointID(endpoint),
+		Outcome:  outcome,
+		Elapsed:  time.Duration(in.Elapsed),
+		Report:   decodeLoadReport(in.Report),
+	}, nil
+}
+
+func (a *attemptJSON) attempt() (attemptRef, error) {
+	endpoint, err := required("backend", a.Endpoint)
+	if err != nil {
+		return attemptRef{}, err
+	}
+	id, err := required("req", a.ID)
+	if err != nil {
+		return attemptRef{}, err
+	}
+	number, err := required("leg", a.Attempt)
+	if err != nil {
+		return attemptRef{}, err
+	}
+	return attemptRef{id: balancer.RequestID(id), number: number, endpoint: balancer.EndpointID(endpoint)}, nil
+}
+
+// outcomes translates the codes of outcomes.
+var outcomes = map[int]balancer.Outcome{
+	0:  balancer.OK,
+	1:  balancer.Canceled,
+	4:  balancer.TimedOut,
+	8:  balancer.Rejected,
+	9:  balancer.NotSent,
+	10: balancer.Reset,
+	13: balancer.ServerError,
+	14: balancer.ConnectFailed,
+}
+
+func (a *attemptJSON) outcome() (balancer.Outcome, error) {
+	code, err := required("disposition", a.Outcome)
+	if err != nil {
+		return 0, err
+	}
+	outcome, ok := outcomes[code]
+	if !ok {
+		return 0, &UnknownValueError{Key: "disposition", Value: strconv.Itoa(code)}
+	}
+	return outcome, nil
+}
+
+// decodeLoadReport skips values that are not numbers and names that are not
+// known. It returns nil if nothing is left.
+func decodeLoadReport(values map[string]json.RawMessage) *balancer.LoadReport {
+	var report balancer.LoadReport
+	anyKnown := false
+	for name, raw := range values {
+		value, err := strconv.ParseFloat(string(raw), 64)
+		if err != nil {
+			continue
+		}
+		if loadreport.SetField(&report, name, value) {
+			anyKnown = true
+		}
+	}
+	if !anyKnown {
+		return nil
+	}
+	return &report
+}
+
+func decodeRequestAbandoned(raw json.RawMessage) (balancer.Event, error) {
+	var in struct {
+		ID *string `json:"req"`
+	}
+	if err := json.Unmarshal(raw, &in); err != nil {
+		return nil, err
+	}
+	id, err := required("req", in.ID)
+	if err != nil {
+		return nil, err
+	}
+	return balancer.RequestAbandoned{ID: balancer.RequestID(id)}, nil
+}
+
+func decodeTimerFired(raw json.RawMessage) (balancer.Event, error) {
+	var in struct {
+		Token *int64 `json:"label"`
+	}
+	if err := json.Unmarshal(raw, &in); err != nil {
+		return nil, err
+	}
+	token, err := required("label", in.Token)
+	if err != nil {
+		return nil, err
+	}
+	return balancer.TimerFired{Token: token}, nil
+}
+
+func decodeMessageReceived(raw json.RawMessage) (balancer.Event, error) {
+	var in struct {
+		From *int   `json:"from"`
+		Data []byte `json:"bytes"`
+	}
+	if err := json.Unmarshal(raw, &in); err != nil {
+		return nil, err
+	}
+	from, err := required("from", in.From)
+	if err != nil {
+		return nil, err
+	}
+	return balancer.MessageReceived{From: from, Data: in.Data}, nil
+}
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -9,51 +9,49 @@
 	"bankshift/balancer"
 )
 
-// Reply holds the actions of one instance.
+// Reply holds the actions of one node.
 type Reply struct {
 	Node    int
 	Actions []balancer.Action
 }
 
-// AppendReply writes the line that answers a batch, with its line end.
+// AppendReply appends the line that answers a batch, with its line end. Nodes
+// without actions are left out.
 func AppendReply(b []byte, replies []Reply) []byte {
 	b = append(b, `{"groups":[`...)
 	first := true
-	for _, r := range replies {
-		if len(r.Actions) == 0 {
+	for _, reply := range replies {
+		if len(reply.Actions) == 0 {
 			continue
 		}
 		if !first {
 			b = append(b, ',')
 		}
 		first = false
-		b = append(b, `{"node_id":`...)
-		b = strconv.AppendInt(b, int64(r.Node), 10)
-		b = append(b, `,"actions":[`...)
-		for i, a := range r.Actions {
-			if i > 0 {
-				b = append(b, ',')
-			}
-			b = appendAction(b, a)
-		}
-		b = append(b, "]}"...)
+		b = appendNode(b, reply)
 	}
 	return append(b, "]}\n"...)
 }
 
-func appendAction(b []byte, a balancer.Action) []byte {
-	switch a := a.(type) {
-	case balancer.Send:
-		b = appendText(b, `{"assign":{"req":`, string(a.ID))
-		b = appendInt(b, `,"backend":`, int64(a.Endpoint))
-		if a.Timeout != 0 {
-			b = appendInt(b, `,"try_for_ns":`, int64(a.Timeout))
+func appendNode(b []byte, reply Reply) []byte {
+	b = appendInt(b, `{"node_id":`, int64(reply.Node))
+	b = append(b, `,"actions":[`...)
+	for i, action := range reply.Actions {
+		if i > 0 {
+			b = append(b, ',')
 		}
+		b = appendAction(b, action)
+	}
+	return append(b, "]}"...)
+}
+
+// appendAction appends an object with the action's name as its only key.
+func appendAction(b []byte, action balancer.Action) []byte {
+	switch a := action.(type) {
+	case balancer.Send:
+		b = appendSend(b, a)
 	case balancer.Reject:
-		b = appendText(b, `{"deny":{"req":`, string(a.ID))
-		if a.RetryAfter > 0 {
-			b = appendInt(b, `,"hold_off_ns":`, int64(a.RetryAfter))
-		}
+		b = appendReject(b, a)
 	case balancer.Fail:
 		b = appendText(b, `{"fail":{"req":`, string(a.ID))
 	case balancer.CancelAttempt:
@@ -65,12 +63,7 @@
 	case balancer.HealthCheck:
 		b = appendInt(b, `{"probe":{"backend":`, int64(a.Endpoint))
 	case balancer.SendMessage:
-		if a.ToAll {
-			b = append(b, `{"tell":{"dest":"*"`...)
-		} else {
-			b = appendInt(b, `{"tell":{"dest":`, int64(a.To))
-		}
-		b = appendText(b, `,"bytes":`, base64.StdEncoding.EncodeToString(a.Data))
+		b = appendMessage(b, a)
 	case balancer.Subscribe:
 		b = append(b, `{"subscribe":{"want":`...)
 		b = strconv.AppendBool(b, a.On)
@@ -79,18 +72,50 @@
 	case balancer.CloseIdleConnections:
 		b = appendInt(b, `{"disconnect":{"backend":`, int64(a.Endpoint))
 	case balancer.EndpointEjected:
-		b = appendText(b, `{"trace":{"message":`, fmt.Sprintf("endpoint %d ejected: %s", a.Endpoint, a.Reason))
+		b = appendTrace(b, fmt.Sprintf("endpoint %d ejected: %s", a.Endpoint, a.Reason))
 	case balancer.EndpointRecovered:
-		b = appendText(b, `{"trace":{"message":`, fmt.Sprintf("endpoint %d recovered, slow start: %t", a.Endpoint, a.SlowStart))
+		b = appendTrace(b, fmt.Sprintf("endpoint %d recovered, slow start: %t", a.Endpoint, a.SlowStart))
 	}
 	return append(b, "}}"...)
 }
 
-func appendInt(b []byte, before string, v int64) []byte {
-	return strconv.AppendInt(append(b, before...), v, 10)
+func appendSend(b []byte, a balancer.Send) []byte {
+	b = appendText(b, `{"assign":{"req":`, string(a.ID))
+	b = appendInt(b, `,"backend":`, int64(a.Endpoint))
+	if a.Timeout != 0 {
+		b = appendInt(b, `,"try_for_ns":`, int64(a.Timeout))
+	}
+	return b
+}
+
+func appendReject(b []byte, a balancer.Reject) []byte {
+	b = appendText(b, `{"deny":{"req":`, string(a.ID))
+	if a.RetryAfter > 0 {
+		b = appendInt(b, `,"hold_off_ns":`, int64(a.RetryAfter))
+	}
+	return b
+}
+
+func appendMessage(b []byte, a balancer.SendMessage) []byte {
+	if a.ToAll {
+		b = append(b, `{"tell":{"dest":"*"`...)
+	} else {
+		b = appendInt(b, `{"tell":{"dest":`, int64(a.To))
+	}
+	return appendText(b, `,"bytes":`, base64.StdEncoding.EncodeToString(a.Data))
+}
+
+func appendTrace(b []byte, message string) []byte {
+	return appendText(b, `{"trace":{"message":`, message)
+}
+
+func appendInt(b []byte, before string, value int64) []byte {
+	b = append(b, before...)
+	return strconv.AppendInt(b, value, 10)
 }
 
 func appendText(b []byte, before, text string) []byte {
+	b = append(b, before...)
 	quoted, _ := json.Marshal(text) // a string always marshals
-	return append(append(b, before...), quoted...)
+	return append(b, quoted...)
 }
