--- /dev/null
+++ b/internal/discovery/request.go
@@ -0,0 +1,128 @@
+package discovery
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptrace"
+	"time"
+)
+
+const (
+	maxListSize = 4 << 20          // bytes; a list of a thousand endpoints takes a twentieth
+	maxListTime = 10 * time.Second // for a list that keeps arriving, as a node must get ready
+
+	// A request on a used connection that breaks sooner than this found it closed
+	// after the last response.
+	staleConnectionTime = 20 * time.Millisecond
+)
+
+var (
+	// errStalled means that a response, or the next part of it, did not come in time.
+	errStalled = errors.New("discovery stalled")
+	// errRejected means that discovery answered with another status than 200.
+	errRejected = errors.New("discovery rejected the poll")
+	// errLongPollBroken means that the connection broke under a long poll.
+	errLongPollBroken = errors.New("long poll of discovery broken")
+	// errListTooLong means that a list has more than maxListSize bytes.
+	errListTooLong = errors.New("endpoint list too long")
+)
+
+// request makes one HTTP request of a poll. Its timeouts guard against a
+// discovery that accepts a request and then stalls. A discovery that is slow with
+// a long list is left to finish, because each further request would only begin
+// the list again.
+func (c *Client) request(ctx context.Context, poll Poll) (List, error) {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	if c.schedule.OnDemand && poll.isLong() {
+		ctx = c.withoutResend(ctx, cancel)
+	}
+	list, err := c.exchange(ctx, cancel, poll)
+	if err == nil {
+		return list, nil
+	}
+	cause := context.Cause(ctx)
+	if cause == errStalled || cause == errLongPollBroken {
+		err = fmt.Errorf("%w: %w", cause, err)
+	}
+	return list, err
+}
+
+// withoutResend has a request canceled instead of sent again. The HTTP client
+// sends a request again by itself if a reused connection breaks. For a long poll
+// that may mean to hang through an outage until its timeout, with the failure
+// unnoticed. Where updates are pushed long polls are not that long.
+func (c *Client) withoutResend(ctx context.Context, cancel context.CancelCauseFunc) context.Context {
+	if c.closesConnections.Load() {
+		c.http.CloseIdleConnections()
+	}
+	sends := 0
+	started := time.Now()
+	beforeSend := func(string) {
+		sends++
+		if sends == 1 {
+			return
+		}
+		if time.Since(started) < staleConnectionTime {
+			c.closesConnections.Store(true)
+		}
+		cancel(errLongPollBroken)
+	}
+	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GetConn: beforeSend})
+}
+
+// exchange sends a request and reads the response. It cancels both if they stall.
+func (c *Client) exchange(ctx context.Context, cancel context.CancelCauseFunc, poll Poll) (List, error) {
+	stallTimer := time.AfterFunc(poll.Timeout, func() { cancel(errStalled) })
+	defer stallTimer.Stop()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url+poll.Query(), nil)
+	if err != nil {
+		return List{}, err
+	}
+	resp, err := c.http.Do(req)
+	if err != nil {
+		return List{}, err
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return List{}, fmt.Errorf("%w: status %s", errRejected, resp.Status)
+	}
+	return readList(&progressReader{
+		Reader:       resp.Body,
+		stallTimer:   stallTimer,
+		stallTimeout: poll.StallTimeout,
+		deadline:     time.Now().Add(maxListTime),
+	})
+}
+
+func readList(r io.Reader) (List, error) {
+	body, err := io.ReadAll(io.LimitReader(r, maxListSize+1))
+	if err != nil {
+		return List{}, fmt.Errorf("endpoint list: %w", err)
+	}
+	if len(body) > maxListSize {
+		return List{}, errListTooLong
+	}
+	var list List
+	if err := json.Unmarshal(body, &list); err != nil {
+		return List{}, fmt.Errorf("endpoint list: %w", err)
+	}
+	return list, nil
+}
+
+// progressReader restarts a timer at each read, up to a deadline.
+type progressReader struct {
+	io.Reader
+	stallTimer   *time.Timer // fires when a read takes longer than stallTimeout
+	stallTimeout time.Duration
+	deadline     time.Time // of the last read
+}
+
+func (r *progressReader) Read(p []byte) (int, error) {
+	r.stallTimer.Reset(min(r.stallTimeout, time.Until(r.deadline)))
+	return r.Reader.Read(p)
+}
--- /dev/null
+++ b/internal/discovery/request_test.go
@@ -0,0 +1,76 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+)
+
+// TestRequestErrors: the error of a request says what happened.
+func TestRequestErrors(t *testing.T) {
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		switch r.URL.Query().Get("from") {
+		case "1":
+			w.WriteHeader(http.StatusServiceUnavailable)
+		case "2":
+			<-r.Context().Done()
+		case "3":
+			w.WriteHeader(http.StatusOK)
+			http.NewResponseController(w).Flush()
+			<-r.Context().Done()
+		case "4":
+			w.Write([]byte(strings.Repeat(" ", maxListSize+1)))
+		}
+	}))
+	defer s.Close()
+	defer s.CloseClientConnections()
+	c := newClient(s, PollSchedule{ResponseTimeout: patience}, nil)
+	for _, request := range []struct {
+		name  string
+		poll  Poll
+		cause error
+	}{
+		{"status 503", Poll{FromVersion: 1, Timeout: patience, StallTimeout: patience}, errRejected},
+		{"no response", Poll{FromVersion: 2, Timeout: 20 * time.Millisecond, StallTimeout: patience}, errStalled},
+		{"half a response", Poll{FromVersion: 3, Timeout: patience, StallTimeout: 20 * time.Millisecond}, errStalled},
+		{"endless list", Poll{FromVersion: 4, Timeout: patience, StallTimeout: patience}, errListTooLong},
+	} {
+		if _, err := c.request(context.Background(), request.poll); !errors.Is(err, request.cause) {
+			t.Errorf("%s: error %v, want %v", request.name, err, request.cause)
+		}
+	}
+}
+
+// TestBrokenLongPollIsNotSentAgain: the HTTP client must not send a long poll
+// again by itself when a reused connection breaks.
+func TestBrokenLongPollIsNotSentAgain(t *testing.T) {
+	longPolls := make(chan bool, 10)
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Query().Get("from") == "" {
+			w.Write([]byte(`{"index":1,"snapshot":true}`))
+			return
+		}
+		longPolls <- true
+		time.Sleep(2 * staleConnectionTime)
+		panic(http.ErrAbortHandler) // resets the connection
+	}))
+	defer s.Close()
+	c := newClient(s, PollSchedule{OnDemand: true, ResponseTimeout: patience}, nil)
+	if _, err := c.request(context.Background(), Poll{Full: true, Timeout: patience, StallTimeout: patience}); err != nil {
+		t.Fatal(err)
+	}
+	longPoll := Poll{FromVersion: 1, LongPollTimeout: time.Second, Timeout: patience, StallTimeout: patience}
+	if _, err := c.request(context.Background(), longPoll); !errors.Is(err, errLongPollBroken) {
+		t.Errorf("error %v, want %v", err, errLongPollBroken)
+	}
+	if len(longPolls) != 1 {
+		t.Errorf("%d long polls arrived, want 1", len(longPolls))
+	}
+	if c.closesConnections.Load() {
+		t.Error("a connection that breaks later counts as one closed after its response")
+	}
+}
