--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -10,61 +10,67 @@
 )
 
 const (
-	acceptRetryFirst = time.Millisecond      // wait behind a failed Accept; doubles
-	acceptRetryLast  = 20 * time.Millisecond // the longest such wait: a request's time runs in the queue
-	acceptWaited     = time.Millisecond      // an Accept that takes longer has found its queue empty
-	queueDrained     = time.Second           // behind a failure: what waited meanwhile has been taken
+	acceptBackoffFirst = time.Millisecond      // pause after a failed Accept; doubles with each further failure
+	acceptBackoffLast  = 20 * time.Millisecond // the longest such pause: the deadlines of queued requests are running
+	emptyQueueWait     = time.Millisecond      // an Accept that blocks for at least this long found its queue empty
+	queueDrainTime     = time.Second           // after a failure; what was queued meanwhile has been accepted by then
 )
 
-// acceptor takes connections from a listener. It outlasts failures that pass,
-// and tells since when each connection may have waited in the listener's queue.
+// acceptor accepts connections from a listener. It retries transient failures
+// and reports since when each connection may have waited in the listener's
+// queue. It is used by one goroutine at a time.
 type acceptor struct {
 	net.Listener
 	log *slog.Logger
 
-	failing time.Time // the first of a row of failures; zero: the queue has been empty since
-	failed  time.Time // the last of them
-	full    time.Time // when the last wait for a place began; zero: the queue has been empty since, or one has been taken
+	failingSince  time.Time // first of a series of failures; zero: the queue has been empty since
+	lastFailure   time.Time // last failure of that series
+	slotWaitSince time.Time // start of the last wait for a slot; zero: the queue has been empty, or a connection taken, since
 }
 
-// next takes a connection. What has been sent on it so far was sent at since,
-// or later, but for a queue that is never empty while clients wait for places
-// one after the other: there only the last wait is counted.
-func (a *acceptor) next() (c net.Conn, since time.Time, err error) {
-	for wait, failures := acceptRetryFirst, 0; ; failures++ {
-		came := time.Now()
+// acceptNext accepts a connection. Everything received on it so far was sent at
+// queuedSince or later. The exception is a queue that is never empty while
+// clients wait for slots one after the other: only the last wait counts then.
+func (a *acceptor) acceptNext() (c net.Conn, queuedSince time.Time, err error) {
+	backoff := acceptBackoffFirst
+	for failures := 0; ; failures++ {
+		called := time.Now()
 		c, err = a.Listener.Accept()
 		now := time.Now()
-		if now.Sub(came) >= acceptWaited {
-			came, a.failing, a.full = now, time.Time{}, time.Time{}
+		if now.Sub(called) >= emptyQueueWait {
+			called = now
+			a.failingSince = time.Time{}
+			a.slotWaitSince = time.Time{}
 		}
-		if now.Sub(a.failed) >= queueDrained {
-			a.failing = time.Time{}
+		if now.Sub(a.lastFailure) >= queueDrainTime {
+			a.failingSince = time.Time{}
 		}
-		switch {
-		case err == nil:
-			since = cmp.Or(a.failing, a.full, came)
-			a.full = time.Time{}
-			return c, since, nil
-		case !passing(err):
+		if err == nil {
+			queuedSince = cmp.Or(a.failingSince, a.slotWaitSince, called)
+			a.slotWaitSince = time.Time{}
+			return c, queuedSince, nil
+		}
+		if !isTransientAcceptError(err) {
 			return nil, time.Time{}, err
-		case failures == 0:
-			a.log.Warn("accepting a client fails, and is tried again", "err", err)
 		}
-		a.failing, a.failed = cmp.Or(a.failing, a.full, came), now
-		time.Sleep(wait)
-		wait = min(2*wait, acceptRetryLast)
+		if failures == 0 {
+			a.log.Warn("accepting a client failed, retrying", "err", err)
+		}
+		a.failingSince = cmp.Or(a.failingSince, a.slotWaitSince, called)
+		a.lastFailure = now
+		time.Sleep(backoff)
+		backoff = min(2*backoff, acceptBackoffLast)
 	}
 }
 
-// waitedForPlace notes that connections have not been taken from the queue since then.
-func (a *acceptor) waitedForPlace(since time.Time) { a.full = since }
+// noteSlotWait records that no connection has been taken from the queue since then.
+func (a *acceptor) noteSlotWait(since time.Time) { a.slotWaitSince = since }
 
-// passing tells whether Accept may be called again after an error. Linux passes
-// on what has befallen the connection that it was about to return (accept(2)),
-// and wants of memory or descriptors pass as well. Only a listener that is
-// closed, or none, stays so.
-func passing(err error) bool {
+// isTransientAcceptError reports whether Accept may be called again after err.
+// Linux reports network errors of the connection that it was about to return
+// (accept(2)), and shortages of memory or descriptors pass. Only the errors of a
+// listener that is closed or invalid are permanent.
+func isTransientAcceptError(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
 		return false
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -3,326 +3,311 @@
 import (
 	"cmp"
 	"context"
-	"errors"
 	"net"
-	"os"
 	"sync"
-	"syscall"
 	"time"
 )
 
-// What is read ahead of a connection is bounded, and so is what is read ahead
-// of all: a client that sends many requests at once is served them all, one
-// after the other, and one that goes on sending behind an open one is at fault.
-const (
-	aheadMost   = 128 << 10 // of one connection
-	aheadLeast  = 16 << 10  // the same where all have used up what they share
-	aheadShared = 4 << 20
-)
+// pastDeadline ends a read that is under way when it is set as a deadline.
+var pastDeadline = time.Unix(1, 0)
 
-// A request behind which more was sent waits until that has been read ahead.
-const (
-	aheadStep = time.Millisecond      // between looks at whether it has: an honest client's next request costs as much
-	aheadTime = 20 * time.Millisecond // at most: aheadMost is read far sooner, and some clients' time is short
-)
+// clientConn is a client's connection as net/http reads it. In addition to
+// net.Conn it
+//   - notices that a client has left that had sent more than its open request,
+//     by reading ahead (readahead.go, departure.go);
+//   - limits the time for a request from its first byte on;
+//   - can be drained, that is closed without cutting off a request that has
+//     begun to arrive.
+//
+// It is made by connectionLimiter.Accept; net/http closes it.
+type clientConn struct {
+	net.Conn
+	limiter      *connectionLimiter
+	slotReleased bool      // guarded by limiter.mu
+	acceptedAt   time.Time // set once
 
-// longAgo as a deadline ends a read that is under way.
-var longAgo = time.Unix(1, 0)
+	// cancelRequests ends the contexts of the connection's requests. It is set
+	// once, before the first read.
+	cancelRequests context.CancelFunc
 
-// limitedConn is a client's connection. net/http reads it; what is added here
-// lets the node see that a client has left which had sent more than its open
-// request, and close a connection without cutting a request that has begun.
-type limitedConn struct {
-	net.Conn
-	of     *limited
-	closed bool // guarded by of.mu
-
-	mu       sync.Mutex
-	changed  sync.Cond          // pumping ends
-	made     time.Time          // when it was accepted
-	deadline time.Time          // as net/http sets it for reads
-	wholeBy  time.Time          // in its place, when the request that has begun to come is to be whole; zero: none has begun
-	begun    time.Time          // when its first byte came; zero: none has begun, or it is to end
-	hurried  bool               // it was ended for others, that need its place
-	spoken   bool               // it has carried a request
-	came     time.Time          // when bytes have last come
-	queued   time.Time          // what the first request is read from may have come then already; zero: it did not
-	heard    bool               // bytes have come since it last came to rest
-	early    bool               // a byte of the next request has come while one was open
-	retired  bool               // nothing is to be read from it any more
-	open     bool               // a request has been read whole and has no answer yet
-	pumping  bool               // pump reads the connection
-	ahead    []byte             // what it has read, counted in of.ahead
-	shut     bool               // Close has been called
-	err      error              // how it has ended, if not by being stopped
-	leave    context.CancelFunc // ends the contexts of its requests
+	mu sync.Mutex // guards what follows
+
+	// httpDeadline is the deadline for reads as net/http sets it.
+	httpDeadline time.Time
+
+	// requestDeadline applies in place of httpDeadline while a request is being
+	// received: it is when that request has to be complete. Zero: none is.
+	requestDeadline time.Time
+
+	// requestStartedAt is when the first byte of the request that is being
+	// received was read. Zero: none is, or it has been given up.
+	requestStartedAt time.Time
+
+	// tightened: the request being received was given up because others need
+	// the connection's slot.
+	tightened bool
+
+	// servedBefore: the connection has carried a request.
+	servedBefore bool
+
+	// receivedAt is when bytes were last received.
+	receivedAt time.Time
+
+	// queuedSince is since when the bytes of the first request may have waited
+	// in the listener's queue. Zero: there were none yet at the accept, or the
+	// first request has been read.
+	queuedSince time.Time
+
+	// receivedSinceIdle: bytes have been received since the connection last
+	// became idle.
+	receivedSinceIdle bool
+
+	// nextRequestStarted: a byte of the next request has been received while
+	// one was open.
+	nextRequestStarted bool
+
+	// draining: nothing may be read any more, so that the connection ends.
+	draining bool
+
+	// requestOpen: a request has been read to its end and is not answered yet.
+	requestOpen bool
+
+	// readingAhead: readAheadLoop runs, and is the only reader of Conn.
+	readingAhead bool
+
+	// readAheadStopped is signaled when readingAhead becomes false.
+	readAheadStopped sync.Cond
+
+	// readAhead is what has been read ahead, counted in limiter.readAheadBytes.
+	readAhead []byte
+
+	// closed: Close has been called.
+	closed bool
+
+	// err is why the connection has been aborted, nil if it has not been.
+	err error
 }
 
-// newLimitedConn takes a connection that may have waited since then to be accepted.
-func newLimitedConn(c net.Conn, of *limited, since time.Time) *limitedConn {
-	lc := &limitedConn{Conn: c, of: of, made: time.Now(), leave: func() {}}
-	lc.changed.L = &lc.mu
+// newClientConn wraps a connection that may have waited in the listener's queue
+// since queuedSince.
+func newClientConn(c net.Conn, limiter *connectionLimiter, queuedSince time.Time) *clientConn {
+	conn := &clientConn{
+		Conn:           c,
+		limiter:        limiter,
+		acceptedAt:     time.Now(),
+		cancelRequests: func() {},
+	}
+	conn.readAheadStopped.L = &conn.mu
 	if !silent(c) {
-		lc.queued = since
+		conn.queuedSince = queuedSince
 	}
-	return lc
+	return conn
 }
 
-// Read reads what was read ahead first. While a request is open, net/http
-// waits for a single byte or the connection's end. After that byte it no
-// longer looks, so the rest is read ahead from here.
-func (c *limitedConn) Read(b []byte) (int, error) {
+// Read returns what was read ahead first. While a request is open, net/http
+// waits for a single byte or the connection's end. After that byte it no longer
+// reads, so what follows is read ahead from here.
+func (c *clientConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
-	if c.pumping && len(c.ahead) == 0 {
-		c.Conn.SetReadDeadline(longAgo)
-		for c.pumping {
-			c.changed.Wait()
-		}
-		c.setDeadline()
+	if c.readingAhead && len(c.readAhead) == 0 {
+		c.stopReadAhead()
 	}
-	if n := copy(b, c.ahead); n > 0 || c.err != nil {
+	if len(c.readAhead) > 0 && len(b) > 0 {
 		defer c.mu.Unlock()
-		if n == 0 {
-			return 0, c.err
-		}
-		c.of.ahead.Add(int64(-n))
-		if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-			c.ahead = nil // hundreds of connections would keep their buffers
-		}
-		c.note(len(b))
-		return n, nil
+		return c.takeReadAhead(b), nil
+	}
+	if c.err != nil {
+		defer c.mu.Unlock()
+		return 0, c.err
 	}
 	c.mu.Unlock()
+
 	n, err := c.Conn.Read(b)
+
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n == 0 {
 		return n, err
 	}
-	c.came = cmp.Or(c.queued, time.Now())
-	if c.begin(); c.retired { // it came as the connection was given up, and is owed an answer
-		c.retired = false
-		c.setDeadline()
-	}
-	c.note(len(b))
+	c.receivedAt = cmp.Or(c.queuedSince, time.Now())
+	c.noteReceived()
+	c.stopDraining() // what arrived as the connection was being drained has to be answered
+	c.startReadAhead(len(b))
 	return n, err
 }
 
-// begin notes that a part of a request has come. From its first byte on it has
-// a time of its own, as net/http's time-outs are those of a connection at rest
-// up to its fourth byte. The caller holds c.mu.
-func (c *limitedConn) begin() {
-	if !c.heard && !c.open {
-		c.begun = time.Now()
-		c.wholeBy = c.begun.Add(readTime)
-		if first := c.made.Add(firstTime); !c.spoken && first.Before(c.wholeBy) {
-			c.wholeBy = first
+// noteReceived records that a part of a request has been received. The first
+// byte starts the request's own deadline, as net/http's time-outs are those of an
+// idle connection up to its fourth byte. The caller holds c.mu.
+func (c *clientConn) noteReceived() {
+	if !c.receivedSinceIdle && !c.requestOpen {
+		c.requestStartedAt = time.Now()
+		c.requestDeadline = c.requestStartedAt.Add(requestReadTimeout)
+		firstDeadline := c.acceptedAt.Add(firstRequestTimeout)
+		if !c.servedBefore && firstDeadline.Before(c.requestDeadline) {
+			c.requestDeadline = firstDeadline
 		}
-		c.setDeadline()
+		c.applyDeadline()
 	}
-	c.heard = true
+	c.receivedSinceIdle = true
 }
 
-// endReading ends the time for the request that is being read.
-func (c *limitedConn) endReading(by time.Time) {
+// setRequestDeadline replaces the deadline of the request that is being received
+// and has been rejected.
+func (c *clientConn) setRequestDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wholeBy, c.begun = by, time.Time{}
-	c.setDeadline()
+	c.requestDeadline = deadline
+	c.requestStartedAt = time.Time{}
+	c.applyDeadline()
 }
 
-// readingSince is when a request began that has not come whole; zero: there is none.
-func (c *limitedConn) readingSince() time.Time {
+// incompleteSince returns when the first byte of the request that is being
+// received was read; zero if there is none.
+func (c *clientConn) incompleteSince() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.begun
+	return c.requestStartedAt
 }
 
-// hurry ends the reading of a request, if it has still not come whole.
-func (c *limitedConn) hurry() {
+// tightenDeadline ends the reading of a request that is still incomplete.
+func (c *clientConn) tightenDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.begun.IsZero() {
-		c.hurried, c.begun, c.wholeBy = true, time.Time{}, time.Now()
-		c.setDeadline()
+	if c.requestStartedAt.IsZero() {
+		return
 	}
+	c.tightened = true
+	c.requestStartedAt = time.Time{}
+	c.requestDeadline = time.Now()
+	c.applyDeadline()
 }
 
-func (c *limitedConn) wasHurried() bool {
+// wasTightened reports whether tightenDeadline has ended a request.
+func (c *clientConn) wasTightened() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.hurried
+	return c.tightened
 }
 
-// note sees to it that what comes behind a single byte is read ahead. The
-// caller holds c.mu.
-func (c *limitedConn) note(wanted int) {
-	if wanted > 1 {
-		return
-	}
-	if c.early = true; !c.pumping && c.err == nil && !c.aheadFull() {
-		c.pumping = true
-		c.Conn.SetReadDeadline(time.Time{})
-		go c.pump()
-	}
-}
-
-// aheadFull tells whether no more is to be read ahead. The caller holds c.mu.
-func (c *limitedConn) aheadFull() bool {
-	most := aheadMost
-	if c.of.ahead.Load() > aheadShared {
-		most = aheadLeast
-	}
-	return len(c.ahead) > most
+// lastReceivedAt returns when bytes were last received. What has been read of
+// them was sent then or earlier.
+func (c *clientConn) lastReceivedAt() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.receivedAt
 }
 
-// judge takes a client for gone that has sent too much behind a request that
-// is not answered. One that has its answer may have sent its next request
-// already, and that can be as long as it likes. The caller holds c.mu.
-func (c *limitedConn) judge() {
-	if c.open && c.aheadFull() {
-		c.quit(errors.New("too much was sent behind a request"))
-	}
+// setRequestOpen records whether a request that has been read to its end waits
+// for its response.
+func (c *clientConn) setRequestOpen(open bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requestOpen = open
+	c.clearRequestTimes()
+	c.applyDeadline()
+	c.abortIfFlooded()
 }
 
-// quit ends the connection's requests. The caller holds c.mu.
-func (c *limitedConn) quit(err error) {
-	if c.err == nil {
-		c.err = err
-		c.leave()
-	}
+// clearRequestTimes forgets the times of the request that was being received.
+// The caller holds c.mu.
+func (c *clientConn) clearRequestTimes() {
+	c.queuedSince = time.Time{}
+	c.requestDeadline = time.Time{}
+	c.requestStartedAt = time.Time{}
 }
 
-// lastCame is when bytes have last come, which is no earlier than what has been
-// read of them was sent.
-func (c *limitedConn) lastCame() time.Time {
+// SetReadDeadline sets the deadline that applies while no request is being
+// received.
+func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.came
+	c.httpDeadline = t
+	return c.applyDeadline()
 }
 
-// left tells whether the client has left as its request has been read. That
-// may have reached the socket long before, and net/http has only begun to look
-// for it. It can stand behind more that the client has sent, which is being
-// read ahead.
-func (c *limitedConn) left(ctx context.Context) bool {
-	for waited := time.Duration(0); ; waited += aheadStep {
-		n, err := peek(c.Conn)
-		if lost(n, err) {
-			return true
-		}
-		if n < 1 || waited >= aheadTime || !sleep(ctx, aheadStep) {
-			return ctx.Err() != nil // it left while earlier requests of its were served, or sent too much
-		}
+// applyDeadline sets the deadline for reads that the connection's state asks
+// for. The caller holds c.mu.
+func (c *clientConn) applyDeadline() error {
+	switch {
+	case c.readingAhead:
+		return nil // set when Read has stopped reading ahead
+	case c.draining:
+		return c.Conn.SetReadDeadline(pastDeadline)
+	case !c.requestDeadline.IsZero() && !c.interruptedByHTTP():
+		return c.Conn.SetReadDeadline(c.requestDeadline)
 	}
+	return c.Conn.SetReadDeadline(c.httpDeadline)
 }
 
-// hasLeft tells whether the client's end is the next to be read, which nobody
-// may have done yet.
-func (c *limitedConn) hasLeft() bool { return lost(peek(c.Conn)) }
-
-// lost tells whether a peek has found the connection's end.
-func lost(n int, err error) bool {
-	if err == nil {
-		return n == 0
-	}
-	for _, errno := range []syscall.Errno{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
-		syscall.EPIPE, syscall.ECONNABORTED, syscall.ENOTCONN} {
-		if errors.Is(err, errno) {
-			return true
-		}
-	}
-	return false
+// interruptedByHTTP reports whether net/http has set its deadline to a time in
+// the distant past, which is how it interrupts a read. The caller holds c.mu.
+func (c *clientConn) interruptedByHTTP() bool {
+	return !c.httpDeadline.IsZero() && !c.httpDeadline.After(c.acceptedAt)
 }
 
-// setOpen tells whether a request, which has come whole, waits for its answer.
-func (c *limitedConn) setOpen(open bool) {
+// setActive records that the connection carries a request, to which all bytes
+// read so far belong. They may have been read after the previous request, and
+// the connection drained since: the request has to be answered.
+func (c *clientConn) setActive() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open, c.queued, c.wholeBy, c.begun = open, time.Time{}, time.Time{}, time.Time{}
-	c.setDeadline()
-	c.judge()
+	c.nextRequestStarted = false
+	c.stopDraining()
 }
 
-// pump reads ahead until the client leaves, has sent as much as is read ahead,
-// or Read wants the connection back.
-func (c *limitedConn) pump() {
-	var chunk [2048]byte
-	for {
-		n, err := c.Conn.Read(chunk[:])
-		c.mu.Lock()
-		if n > 0 && !c.shut {
-			c.came = time.Now()
-			c.ahead = append(c.ahead, chunk[:n]...)
-			c.of.ahead.Add(int64(n))
-		}
-		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			c.quit(err)
-		}
-		c.judge()
-		if err != nil || c.err != nil || c.aheadFull() {
-			c.pumping = false
-			c.changed.Broadcast()
-			c.mu.Unlock()
-			return
-		}
-		c.mu.Unlock()
-	}
-}
-
-func (c *limitedConn) SetReadDeadline(t time.Time) error {
+// setIdle records that the connection carries no request.
+func (c *clientConn) setIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deadline = t
-	return c.setDeadline()
-}
-
-// setDeadline passes the deadline on to where it counts just now. The caller
-// holds c.mu.
-func (c *limitedConn) setDeadline() error {
-	switch {
-	case c.pumping:
-		return nil // Read sets it as it takes over
-	case c.retired:
-		return c.Conn.SetReadDeadline(longAgo)
-	case !c.wholeBy.IsZero() && (c.deadline.IsZero() || c.deadline.After(c.made)): // an earlier one is an order to stop
-		return c.Conn.SetReadDeadline(c.wholeBy)
+	c.receivedSinceIdle = false
+	c.servedBefore = true
+	c.clearRequestTimes()
+	if c.nextRequestStarted || len(c.readAhead) > 0 {
+		c.noteReceived()
 	}
-	return c.Conn.SetReadDeadline(c.deadline)
 }
 
-// use notes that the connection carries a request, all bytes read so far being
-// its own. They may have been read behind the request before, and the
-// connection given up in between: it is owed an answer.
-func (c *limitedConn) use() {
+// drain ends the connection if no part of a request has been received on it, and
+// reports whether it does. The reader ends it, which then cannot have read one. A
+// request that arrives later has not been read by the node, and its client sends
+// it again.
+func (c *clientConn) drain() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.early = false; c.retired {
-		c.retired = false
-		c.setDeadline()
+	if c.receivedSinceIdle || c.readingAhead || !silent(c.Conn) {
+		return c.draining
 	}
+	c.draining = true
+	c.applyDeadline()
+	return true
 }
 
-// rest notes that the connection carries no request.
-func (c *limitedConn) rest() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.heard, c.spoken, c.queued, c.wholeBy, c.begun = false, true, time.Time{}, time.Time{}, time.Time{}
-	if c.early || len(c.ahead) > 0 {
-		c.begin()
+// stopDraining lets the connection be read again. The caller holds c.mu.
+func (c *clientConn) stopDraining() {
+	if !c.draining {
+		return
 	}
+	c.draining = false
+	c.applyDeadline()
 }
 
-// retire has the connection closed if nothing of a request has come on it: by
-// its reader, who then cannot have read one. A request that comes later is one
-// that the node has not read, and its client sends it again.
-func (c *limitedConn) retire() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.heard || c.pumping || !silent(c.Conn) {
-		return c.retired
+// Close closes the connection and gives its slot back.
+func (c *clientConn) Close() error {
+	err := c.Conn.Close()
+	c.discardReadAhead()
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	c.releaseSlot()
+	return err
+}
+
+// CloseWrite closes the sending side alone. net/http uses it to let a client read
+// the response to a request of which it has not sent everything.
+func (c *clientConn) CloseWrite() error {
+	tcp, ok := c.Conn.(*net.TCPConn)
+	if !ok {
+		return nil
 	}
-	c.retired = true
-	c.setDeadline()
-	return true
+	return tcp.CloseWrite()
 }
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -50,10 +50,10 @@
 						}
 						open <- k
 					})
-					if k := wait(t, open, "the loop"); k == 0 && n.front.conns.open() == 0 {
+					if k := wait(t, open, "the loop"); k == 0 && n.front.connections.openConnections() == 0 {
 						break
 					} else if time.Now().After(until) {
-						t.Fatalf("%d requests are open, on %d connections", k, n.front.conns.open())
+						t.Fatalf("%d requests are open, on %d connections", k, n.front.connections.openConnections())
 					}
 				}
 				if len(got) > 0 {
@@ -129,19 +129,19 @@
 		}
 	}
 	c.Close()
-	ahead := &n.front.conns.ahead
+	ahead := &n.front.connections.readAheadBytes
 	await(t, "what is read ahead to be given back", func() bool { return ahead.Load() == 0 })
 	early := n.dial(t)
 	io.WriteString(early, text.String()) // its ids are free again
 	early.Close()
-	await(t, "the connection to end", func() bool { return n.front.conns.open() == 0 })
+	await(t, "the connection to end", func() bool { return n.front.connections.openConnections() == 0 })
 	if left := ahead.Load(); left != 0 {
 		t.Errorf("%d bytes stay counted as read ahead", left)
 	}
 }
 
 // connPair is a node's end and a client's end of one connection.
-func connPair(t *testing.T) (*limitedConn, net.Conn) {
+func connPair(t *testing.T) (*clientConn, net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -152,14 +152,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := limitListener(ln, 10)
+	l := newConnectionLimiter(ln, 10, quiet)
 	c, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close(); client.Close() })
 	c.SetReadDeadline(time.Now().Add(enough))
-	return c.(*limitedConn), client
+	return c.(*clientConn), client
 }
 
 // TestRetireSparesARequest: one that has begun to come, or waits unread, or is
@@ -172,7 +172,7 @@
 		for until := time.Now().Add(enough); silent(c.Conn) && time.Now().Before(until); {
 			time.Sleep(time.Millisecond)
 		}
-		if c.retire() {
+		if c.drain() {
 			t.Error("retired with a request unread")
 		}
 		if n, err := c.Read(buffer); n != 3 || err != nil {
@@ -185,14 +185,14 @@
 		if n, err := c.Read(buffer); n != 3 || err != nil {
 			t.Fatalf("reads %d bytes, %v", n, err)
 		}
-		if c.retire() {
+		if c.drain() {
 			t.Error("retired with a request half read")
 		}
 	})
 	t.Run("crossing", func(t *testing.T) {
 		c, client := connPair(t)
 		c.Conn = crossing{c.Conn.(*net.TCPConn), sync.OnceFunc(func() {
-			if !c.retire() {
+			if !c.drain() {
 				t.Error("not retired though nothing has come")
 			}
 			io.WriteString(client, "GET")
@@ -212,7 +212,7 @@
 			_, err := c.Read(buffer)
 			ended <- err
 		}()
-		if !c.retire() {
+		if !c.drain() {
 			t.Error("not retired")
 		}
 		if err := wait(t, ended, "the reader"); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -256,13 +256,13 @@
 	text := requests(1)
 	io.WriteString(half, text[:20])
 	heard := func(c net.Conn) bool {
-		n.front.conns.mu.Lock()
-		defer n.front.conns.mu.Unlock()
-		for lc := range n.front.conns.unused {
+		n.front.connections.mu.Lock()
+		defer n.front.connections.mu.Unlock()
+		for lc := range n.front.connections.idle {
 			if lc.RemoteAddr().String() == c.LocalAddr().String() {
 				lc.mu.Lock()
 				defer lc.mu.Unlock()
-				return lc.heard
+				return lc.receivedSinceIdle
 			}
 		}
 		return false
@@ -299,9 +299,9 @@
 	for _, open := range []bool{false, true} {
 		c, client := connPair(t)
 		gone := make(chan bool, 1)
-		c.leave = func() { gone <- true }
-		c.setOpen(open)
-		long := bytes.Repeat([]byte("x"), 2*aheadMost)
+		c.cancelRequests = func() { gone <- true }
+		c.setRequestOpen(open)
+		long := bytes.Repeat([]byte("x"), 2*maxReadAhead)
 		go client.Write(long)
 		if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil {
 			t.Fatalf("reads %d bytes, %v", n, err)
@@ -313,7 +313,7 @@
 		paused := func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			return !c.pumping && len(c.ahead) > aheadMost
+			return !c.readingAhead && len(c.readAhead) > maxReadAhead
 		}
 		for until := time.Now().Add(enough); !paused() && time.Now().Before(until); {
 			time.Sleep(time.Millisecond) // until as much has been read ahead as may be
--- a/internal/node/closing_test.go
+++ b/internal/node/closing_test.go
@@ -21,9 +21,9 @@
 // its next request has been read already behind the one before. That one is
 // served, and its connection counts for as long.
 func TestRetireSparesAReadRequest(t *testing.T) {
-	for name, give := range map[string]func(l *limited){
-		"at the end": func(l *limited) { l.retire(time.Now()) },
-		"at the limit": func(l *limited) {
+	for name, give := range map[string]func(l *connectionLimiter){
+		"at the end": func(l *connectionLimiter) { l.drain(time.Now()) },
+		"at the limit": func(l *connectionLimiter) {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			if !l.evict(time.Now()) {
@@ -44,10 +44,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l := limitListener(ln, 1)
+			l := newConnectionLimiter(ln, 1, quiet)
 			given := sync.OnceFunc(func() { give(l) })
-			srv := &http.Server{Handler: n.front, ConnContext: l.context, IdleTimeout: idleTime, ConnState: func(c net.Conn, s http.ConnState) {
-				if l.note(c, s); s == http.StateIdle {
+			srv := &http.Server{Handler: n.front, ConnContext: l.connContext, IdleTimeout: idleTimeout, ConnState: func(c net.Conn, s http.ConnState) {
+				if l.trackState(c, s); s == http.StateIdle {
 					given()
 				}
 			}}
@@ -57,7 +57,7 @@
 			io.WriteString(c, requests(2))
 			for i := range 2 {
 				wait(t, got, "a request")
-				if open := l.open(); open != 1 {
+				if open := l.openConnections(); open != 1 {
 					t.Errorf("%d connections count, want 1", open)
 				}
 				release <- true
@@ -170,7 +170,7 @@
 func TestUnsentIsRefusedAtTheEnd(t *testing.T) {
 	address, got := listening(t)
 	n := startNode(t, address)
-	n.front.stages.answered = 0
+	n.front.phases.answered = 0
 	begun, release := slowDials(n.backends)
 	answers := make(chan reply, 1)
 	go func() { answers <- do(t, n.request(t, "POST", "pagar", "q", "600", strings.NewReader("x"))) }()
--- a/internal/node/listener_test.go
+++ b/internal/node/connlimit_test.go
@@ -19,7 +19,7 @@
 			io.WriteString(c, okAnswer)
 		}
 	}))
-	most := n.front.most
+	most := n.front.maxConnections
 	var silent []raw
 	for range 2 * most {
 		silent = append(silent, n.dial(t))
@@ -51,8 +51,8 @@
 func TestHalfRequests(t *testing.T) {
 	server, got, _ := silentServer(t)
 	n := startNode(t, server)
-	if silentTime >= owedWithin || readTime >= owedWithin || firstTime >= owedWithin || idleTime >= owedWithin {
-		t.Errorf("a connection may be silent %v, a request take %v, the first one %v, a connection be idle %v", silentTime, readTime, firstTime, idleTime)
+	if firstByteTimeout >= owedWithin || requestReadTimeout >= owedWithin || firstRequestTimeout >= owedWithin || idleTimeout >= owedWithin {
+		t.Errorf("a connection may be silent %v, a request take %v, the first one %v, a connection be idle %v", firstByteTimeout, requestReadTimeout, firstRequestTimeout, idleTimeout)
 	}
 	for name, text := range map[string]string{
 		"half a head": "GET /api/x HTTP/1.1\r\nHost: app",
@@ -90,19 +90,19 @@
 	now := time.Now()
 	for _, c := range []struct {
 		name    string
-		unused  unused
+		unused  idleState
 		retired bool
 	}{
-		{"just come", unused{since: now.Add(-speakTime / 2)}, false},
-		{"silent", unused{since: now.Add(-speakTime)}, true},
-		{"between requests", unused{since: now, spoken: true}, true},
+		{"just come", idleState{since: now.Add(-silenceAllowance / 2)}, false},
+		{"silent", idleState{since: now.Add(-silenceAllowance)}, true},
+		{"between requests", idleState{since: now, servedBefore: true}, true},
 	} {
 		lc, _ := connPair(t)
-		lc.of.unused[lc] = c.unused
-		lc.of.retire(now)
+		lc.limiter.idle[lc] = c.unused
+		lc.limiter.drain(now)
 		lc.mu.Lock()
-		if lc.retired != c.retired {
-			t.Errorf("%s: retired %v, want %v", c.name, lc.retired, c.retired)
+		if lc.draining != c.retired {
+			t.Errorf("%s: retired %v, want %v", c.name, lc.draining, c.retired)
 		}
 		lc.mu.Unlock()
 	}
@@ -115,7 +115,7 @@
 	n := startNodeOn(t, listen(t), func(c *Config) { c.Sockets = 128 }, server)
 	for range 3 {
 		var crowd sync.WaitGroup
-		for range 5 * n.front.most {
+		for range 5 * n.front.maxConnections {
 			crowd.Add(1)
 			go func() {
 				defer crowd.Done()
@@ -139,7 +139,7 @@
 				if err == nil && resp.StatusCode == http.StatusOK {
 					break
 				}
-				if silent < spareTime || tries == 5 {
+				if silent < evictionGrace || tries == 5 {
 					t.Errorf("request %d, silent %v: %v, %v; want 200", i, silent, resp, err)
 					break
 				}
@@ -152,9 +152,9 @@
 // TestFullOfRequests: all places are taken by connections that carry requests. A further client waits for one of them.
 func TestFullOfRequests(t *testing.T) {
 	const places = 4
-	l := limitListener(listen(t), places)
+	l := newConnectionLimiter(listen(t), places, quiet)
 	got, release := make(chan bool, 100), make(chan struct{})
-	srv := &http.Server{ConnState: l.note, ConnContext: l.context, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	srv := &http.Server{ConnState: l.trackState, ConnContext: l.connContext, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		got <- true
 		<-release
 		io.WriteString(w, "ok")
@@ -186,7 +186,7 @@
 	n := startNodeOn(t, listen(t), func(c *Config) { c.Sockets = 64 }, server)
 	done := make(chan struct{})
 	var crowd sync.WaitGroup
-	for range 16 * n.front.most {
+	for range 16 * n.front.maxConnections {
 		crowd.Add(1)
 		go func() {
 			defer crowd.Done()
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -94,8 +94,8 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	n := &running{Node: New(cfg, quiet), address: ln.Addr().String(), stop: stop, linger: func() {}, ended: make(chan error, 1)}
-	n.front.linger = func(func() int) {}
-	n.front.stages = stages{answered: enough, closed: 2 * enough}
+	n.front.keepServing = func(func() int) {}
+	n.front.phases = shutdownPhases{answered: enough, closed: 2 * enough}
 	go func() { n.ended <- n.Run(ctx, ln) }()
 	t.Cleanup(func() {
 		stop()
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -14,12 +14,12 @@
 	for _, longest := range []time.Duration{0, 50 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond,
 		3 * time.Second, 4096 * time.Millisecond, time.Minute} {
 		kill := min(longest, 3*time.Second) + 700*time.Millisecond
-		e := stagesOf(longest)
-		if e.leave > e.answered || e.answered >= e.closed || e.closed >= kill {
+		e := newShutdownPhases(longest)
+		if e.closeAsked > e.answered || e.answered >= e.closed || e.closed >= kill {
 			t.Errorf("longest deadline %v: %+v, want one after the other and all before %v", longest, e, kill)
 		}
-		if longest >= 50*time.Millisecond && e.leave <= 400*time.Millisecond {
-			t.Errorf("longest deadline %v: clients are asked to close after %v, while new ones come", longest, e.leave)
+		if longest >= 50*time.Millisecond && e.closeAsked <= 400*time.Millisecond {
+			t.Errorf("longest deadline %v: clients are asked to close after %v, while new ones come", longest, e.closeAsked)
 		}
 		if later := kill - e.answered; later < 200*time.Millisecond || later > 400*time.Millisecond {
 			t.Errorf("longest deadline %v: the last answers are due %v before the kill", longest, later)
@@ -32,7 +32,7 @@
 func TestOpenRequestsAreAnsweredBeforeTheEnd(t *testing.T) {
 	server, got, _ := silentServer(t)
 	n := startNode(t, server)
-	n.front.stages.answered = 0
+	n.front.phases.answered = 0
 	c, later := n.dial(t), n.dial(t)
 	c.ask(t, "saldo", "q", "600")
 	wait(t, got, "the attempt")
@@ -74,7 +74,7 @@
 	}
 	ln := lateListener{inner, make(chan struct{}), make(chan struct{})}
 	n := New(testConfig(refusing(t)), quiet)
-	n.front.linger = func(func() int) {}
+	n.front.keepServing = func(func() int) {}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx, ln) }()
--- /dev/null
+++ b/internal/node/eviction.go
@@ -0,0 +1,106 @@
+package node
+
+import "time"
+
+// A client's first request arrives with its connection or right after it.
+const (
+	silenceAllowance = 250 * time.Millisecond // a new connection that is silent for longer is evicted first
+	evictionGrace    = 20 * time.Millisecond  // a new connection is not evicted within this time
+)
+
+// tightenOldestStalled ends the reading of the request that has been incomplete
+// for longest, if it should be complete by now: clients that stop in the middle
+// of a request must not hold up others.
+func (l *connectionLimiter) tightenOldestStalled(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var oldest *clientConn
+	var oldestSince time.Time
+	for c := range l.connections {
+		since := c.incompleteSince()
+		stalled := !since.IsZero() && now.Sub(since) >= silenceAllowance
+		if stalled && (oldest == nil || since.Before(oldestSince)) {
+			oldest = c
+			oldestSince = since
+		}
+	}
+	if oldest != nil {
+		oldest.tightenDeadline()
+	}
+}
+
+// drain closes all idle connections except new ones, whose first request is on
+// its way and would not be sent again by its client. It has to be repeated, as
+// these and the active ones become idle later.
+func (l *connectionLimiter) drain(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c, state := range l.idle {
+		if state.servedBefore || now.Sub(state.since) >= silenceAllowance {
+			c.drain()
+		}
+	}
+}
+
+// evict closes the connection that is least likely to be missed and releases its
+// slot. A candidate on which a request has just arrived is not idle any more,
+// though net/http has not reported it yet. The caller holds l.mu.
+func (l *connectionLimiter) evict(now time.Time) bool {
+	for {
+		candidate := l.evictionCandidate(now)
+		if candidate == nil {
+			return false
+		}
+		if candidate.drain() {
+			candidate.releaseSlot()
+			return true
+		}
+		delete(l.idle, candidate)
+	}
+}
+
+// evictionRank orders connections for eviction, lowest first.
+type evictionRank int
+
+const (
+	longSilent      evictionRank = iota // new, and silent for longer than silenceAllowance
+	betweenRequests                     // has carried a request
+	newlyAccepted                       // new, and past its evictionGrace
+	notEvictable                        // new, and within its evictionGrace
+)
+
+// evictionRank returns the rank of a connection in this state.
+func (s idleState) evictionRank(now time.Time) evictionRank {
+	age := now.Sub(s.since)
+	switch {
+	case s.servedBefore:
+		return betweenRequests
+	case age >= silenceAllowance:
+		return longSilent
+	case age >= evictionGrace:
+		return newlyAccepted
+	}
+	return notEvictable
+}
+
+// evictionCandidate returns the connection to evict next, nil if there is none:
+// that of the lowest rank, and among those the one that has been idle longest.
+// The caller holds l.mu.
+func (l *connectionLimiter) evictionCandidate(now time.Time) *clientConn {
+	var candidate *clientConn
+	var candidateRank evictionRank
+	var candidateSince time.Time
+	for c, state := range l.idle {
+		rank := state.evictionRank(now)
+		if rank == notEvictable {
+			continue
+		}
+		preferred := rank < candidateRank || rank == candidateRank && state.since.Before(candidateSince)
+		if candidate == nil || preferred {
+			candidate = c
+			candidateRank = rank
+			candidateSince = state.since
+		}
+	}
+	return candidate
+}
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -65,14 +65,14 @@
 	safe, unsafe := n.dial(t), n.dial(t)
 	safe.ask(t, "saldo", "q", "60")
 	fmt.Fprint(unsafe, "POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: u\r\nX-Class: pagar\r\nX-Deadline: 60\r\nContent-Length: 1\r\n\r\nx")
-	time.Sleep(readTime + 200*time.Millisecond)
+	time.Sleep(requestReadTimeout + 200*time.Millisecond)
 	close(release)
 	for name, c := range map[string]raw{"safe": safe, "unsafe": unsafe} {
 		if s := c.status(t); s != 200 {
 			t.Errorf("the %s request is answered %d after a long wait", name, s)
 		}
 	}
-	for end := time.Now().Add(writeTime + 200*time.Millisecond); time.Now().Before(end); time.Sleep(idleTime / 4) {
+	for end := time.Now().Add(responseWriteTimeout + 200*time.Millisecond); time.Now().Before(end); time.Sleep(idleTimeout / 4) {
 		io.WriteString(safe, "GET /health/live HTTP/1.1\r\nHost: app.svc\r\n\r\n")
 		if s := safe.status(t); s != 200 {
 			t.Errorf("a health check is answered %d", s)
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -64,7 +64,7 @@
 // told is the time that a request tells its server.
 func told(t *testing.T, req *http.Request) time.Duration {
 	t.Helper()
-	wait, err := seconds(req.Header.Get("X-Deadline"))
+	wait, err := parseTimeout(req.Header.Get("X-Deadline"))
 	if err != nil {
 		t.Errorf("X-Deadline: %v", err)
 	}
@@ -147,7 +147,7 @@
 		}
 	}
 	t.Run("slow body", func(t *testing.T) {
-		await(t, "the test's first connection to close", func() bool { return n.front.conns.open() == 0 })
+		await(t, "the test's first connection to close", func() bool { return n.front.connections.openConnections() == 0 })
 		c := n.dial(t)
 		fmt.Fprintf(c, post, "slow", enough.Seconds())
 		await(t, "the head to be read", func() bool { return n.reading() == 1 })
@@ -181,9 +181,9 @@
 
 // reading counts the connections on which a request's head has been read.
 func (n *running) reading() int {
-	n.front.conns.mu.Lock()
-	defer n.front.conns.mu.Unlock()
-	return n.front.conns.conns - len(n.front.conns.unused)
+	n.front.connections.mu.Lock()
+	defer n.front.connections.mu.Unlock()
+	return n.front.connections.slotsInUse - len(n.front.connections.idle)
 }
 
 // TestNothingLeftNothingSent: a request is not sent with no time to tell.
@@ -292,7 +292,7 @@
 func (n *running) leave(t *testing.T, c raw) {
 	t.Helper()
 	c.Close()
-	await(t, "the connection's end", func() bool { return n.front.conns.open() == 0 })
+	await(t, "the connection's end", func() bool { return n.front.connections.openConnections() == 0 })
 }
 
 // held counts the requests that the node holds.
@@ -423,9 +423,9 @@
 			c, client := connPair(t)
 			leave(client.(*net.TCPConn))
 			await(t, "the end to come", func() bool { return !silent(c.Conn) })
-			req := &request{id: "q", out: get("/api/x"), deadline: time.Now().Add(enough), answer: make(chan answer, 1)}
+			req := &request{id: "q", out: get("/api/x"), deadline: time.Now().Add(enough), answer: make(chan response, 1)}
 			event := balancer.RequestArrived{ID: "q", Class: "saldo"}
-			if a, ok := n.front.answer(context.WithValue(t.Context(), connKey{}, c), req, event); ok {
+			if a, ok := n.front.awaitResponse(context.WithValue(t.Context(), clientConnKey{}, c), req, event); ok {
 				t.Errorf("answer %d to a client that has left", a.status)
 			}
 			n.mustNotSend(t, got, "q")
@@ -448,12 +448,12 @@
 			c.ask(t, "saldo", "q", "60")
 			io.WriteString(c, rest)
 			c.Close()
-			l := limitListener(ln, 10)
-			srv := &http.Server{Handler: n.front, ConnState: l.note, ConnContext: l.context}
+			l := newConnectionLimiter(ln, 10, quiet)
+			srv := &http.Server{Handler: n.front, ConnState: l.trackState, ConnContext: l.connContext}
 			t.Cleanup(func() { srv.Close() })
 			ended := make(chan bool, 1)
 			srv.ConnState = func(c net.Conn, s http.ConnState) {
-				if l.note(c, s); s == http.StateClosed {
+				if l.trackState(c, s); s == http.StateClosed {
 					ended <- true
 				}
 			}
@@ -468,7 +468,7 @@
 func TestClientLeavesInItsBody(t *testing.T) {
 	address, got := listening(t)
 	n := startNode(t, address)
-	await(t, "the test's first connection to close", func() bool { return n.front.conns.open() == 0 })
+	await(t, "the test's first connection to close", func() bool { return n.front.connections.openConnections() == 0 })
 	c := n.dial(t)
 	io.WriteString(c, "POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: q\r\nX-Class: pagar\r\nX-Deadline: 60\r\nContent-Length: 4\r\n\r\nbod")
 	await(t, "the head to be read", func() bool { return n.reading() == 1 })
@@ -545,7 +545,7 @@
 		{-1, syscall.ENETUNREACH, true}, {-1, syscall.EPIPE, true}, {-1, syscall.ECONNABORTED, true}, {-1, syscall.ENOTCONN, true},
 		{1, nil, false}, {-1, syscall.EAGAIN, false}, {-1, syscall.EINTR, false}, {-1, syscall.ENOMEM, false}, {0, errors.ErrUnsupported, false},
 	} {
-		if lost(c.n, c.err) != c.left {
+		if connectionLost(c.n, c.err) != c.left {
 			t.Errorf("%d bytes, %v: left %v, want %v", c.n, c.err, !c.left, c.left)
 		}
 	}
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -10,26 +10,31 @@
 )
 
 const (
-	listenTries = 50                     // at a listener; a node that can't listen at all has to say so
-	listenWait  = 100 * time.Millisecond // between them
+	maxListenAttempts   = 50 // a node that cannot listen at all has to report it
+	listenRetryInterval = 100 * time.Millisecond
 )
 
-// Listen opens the listener for clients. It outlasts a want of descriptors or
-// memory, and an address that a process before still holds, for some seconds.
+// Listen opens the listener for clients. For some seconds it retries where this
+// machine is short of descriptors or memory, or where the previous process still
+// holds the address.
 func Listen(ctx context.Context, address string, log *slog.Logger) (net.Listener, error) {
 	return listenWith(ctx, net.ListenConfig{}, address, log)
 }
 
 func listenWith(ctx context.Context, lc net.ListenConfig, address string, log *slog.Logger) (net.Listener, error) {
-	for tries := 1; ; tries++ {
+	for attempt := 1; ; attempt++ {
 		ln, err := lc.Listen(ctx, "tcp", address)
-		if err == nil || tries == listenTries || !local(err) && !errors.Is(err, syscall.EADDRINUSE) {
-			return ln, err
+		if err == nil {
+			return ln, nil
 		}
-		if tries == 1 {
-			log.Warn("listening for clients fails, and is tried again", "err", err)
+		retryable := local(err) || errors.Is(err, syscall.EADDRINUSE)
+		if attempt == maxListenAttempts || !retryable {
+			return nil, err
+		}
+		if attempt == 1 {
+			log.Warn("listening for clients failed, retrying", "err", err)
 		}
-		if !sleep(ctx, listenWait) {
+		if !sleep(ctx, listenRetryInterval) {
 			return nil, err
 		}
 	}
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -44,7 +44,7 @@
 // TestListenGivesUp: what does not pass is told at once.
 func TestListenGivesUp(t *testing.T) {
 	began := time.Now()
-	if _, err := Listen(t.Context(), "127.0.0.1:nowhere", quiet); err == nil || time.Since(began) > listenTries*listenWait/2 {
+	if _, err := Listen(t.Context(), "127.0.0.1:nowhere", quiet); err == nil || time.Since(began) > maxListenAttempts*listenRetryInterval/2 {
 		t.Errorf("%v after %v, want an error at once", err, time.Since(began))
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -51,7 +51,7 @@
 	id       balancer.RequestID
 	out      *outbound
 	deadline time.Time
-	answer   chan answer // takes the one final answer
+	answer   chan response // takes the one final answer
 	done     bool
 	open     context.Context // ends with the answer, or as the client is seen to go, before the loop knows
 	end      context.CancelFunc
@@ -61,11 +61,11 @@
 }
 
 // answer is a final answer to a client.
-type answer struct {
-	status  int
-	holdOff time.Duration // of a refusal; 0: no advice
-	header  http.Header
-	body    []byte
+type response struct {
+	status     int
+	retryAfter time.Duration // of a refusal; 0: no advice
+	header     http.Header
+	body       []byte
 }
 
 // New makes a node; Run starts it.
@@ -182,9 +182,9 @@
 	case balancer.Send:
 		n.send(a)
 	case balancer.Reject:
-		n.finish(a.ID, answer{status: http.StatusServiceUnavailable, holdOff: a.RetryAfter})
+		n.finish(a.ID, response{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter})
 	case balancer.Fail:
-		n.finish(a.ID, answer{status: http.StatusBadGateway})
+		n.finish(a.ID, response{status: http.StatusBadGateway})
 	case balancer.CancelAttempt:
 		if r := n.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
 			r.attempts[a.Attempt]()
@@ -212,12 +212,12 @@
 	if n.requests[r.id] != nil {
 		// Two under one id would get each other's answers.
 		r.done = true
-		r.answer <- answer{status: http.StatusConflict}
+		r.answer <- response{status: http.StatusConflict}
 		return
 	}
 	if most := n.cfg.Settings.MaxOpenRequests; most > 0 && len(n.requests) >= most {
 		r.done = true
-		r.answer <- answer{status: http.StatusServiceUnavailable, holdOff: n.module.RetryAfter(e.Class)}
+		r.answer <- response{status: http.StatusServiceUnavailable, retryAfter: n.module.RetryAfter(e.Class)}
 		return
 	}
 	if !n.ends.IsZero() && n.ends.Before(r.deadline) {
@@ -231,9 +231,9 @@
 		n.post(func() {
 			if !r.done {
 				r.end() // from here on nothing is sent
-				last := answer{status: http.StatusGatewayTimeout}
+				last := response{status: http.StatusGatewayTimeout}
 				if !r.out.sent.Load() {
-					last = answer{status: http.StatusServiceUnavailable, holdOff: n.module.RetryAfter(e.Class)}
+					last = response{status: http.StatusServiceUnavailable, retryAfter: n.module.RetryAfter(e.Class)}
 				}
 				n.finish(r.id, last)
 				for _, cancel := range r.attempts {
@@ -268,7 +268,7 @@
 
 // finish gives a request its final answer. All answers pass here, and only
 // the first goes on.
-func (n *Node) finish(id balancer.RequestID, a answer) {
+func (n *Node) finish(id balancer.RequestID, a response) {
 	if r := n.requests[id]; r != nil && !r.done {
 		r.answer <- a
 		n.close(r)
@@ -329,7 +329,7 @@
 func (n *Node) attemptEnded(r *request, number int, server balancer.EndpointID, took, waited time.Duration, res result) {
 	r.running--
 	if res.code == balancer.OK {
-		n.finish(r.id, answer{status: http.StatusOK, header: res.header, body: res.body})
+		n.finish(r.id, response{status: http.StatusOK, header: res.header, body: res.body})
 	}
 	over := r.done
 	n.handle(balancer.AttemptEnded{ID: r.id, Attempt: number, Endpoint: server, RequestDone: over, Elapsed: took, SinceSent: waited,
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -87,8 +87,8 @@
 		ended: make(chan error, 1)}
 	lingered := make(chan struct{})
 	n.linger = sync.OnceFunc(func() { close(lingered) })
-	n.front.linger = func(func() int) { <-lingered }
-	n.front.stages = stages{answered: enough, closed: 2 * enough} // tests that want less say so
+	n.front.keepServing = func(func() int) { <-lingered }
+	n.front.phases = shutdownPhases{answered: enough, closed: 2 * enough} // tests that want less say so
 	go func() { n.ended <- n.Run(ctx, ln) }()
 	t.Cleanup(func() {
 		stop()
@@ -445,13 +445,13 @@
 	}
 	ask("before")
 	n.stop()
-	for until := time.Now().Add(enough); !n.front.ordered.Load() && time.Now().Before(until); {
+	for until := time.Now().Add(enough); !n.front.stopping.Load() && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
 	if resp := ask("after"); resp.Close {
 		t.Error("the client is told to close while the node can still serve it")
 	}
-	n.front.leaving.Store(true)
+	n.front.closing.Store(true)
 	if resp := ask("last"); !resp.Close {
 		t.Error("the client is not told to close at the end")
 	}
@@ -467,10 +467,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := limitListener(ln, 2)
+	l := newConnectionLimiter(ln, 2, quiet)
 	idle := make(chan struct{}, 10)
 	srv := &http.Server{Handler: http.NotFoundHandler(), ConnState: func(c net.Conn, s http.ConnState) {
-		l.note(c, s)
+		l.trackState(c, s)
 		if s == http.StateIdle {
 			idle <- struct{}{}
 		}
--- a/internal/node/pieces_test.go
+++ b/internal/node/pieces_test.go
@@ -205,8 +205,8 @@
 		if l.single {
 			size = 2
 		}
-		conns := limitListener(l, 100)
-		srv := &http.Server{Handler: n.front, ConnState: conns.note, ConnContext: conns.context}
+		conns := newConnectionLimiter(l, 100, quiet)
+		srv := &http.Server{Handler: n.front, ConnState: conns.trackState, ConnContext: conns.connContext}
 		go srv.Serve(conns)
 		defer srv.Close()
 		for k := 1; k < size; k++ {
--- a/internal/node/stalled_test.go
+++ b/internal/node/stalled_test.go
@@ -97,9 +97,9 @@
 				for range tries {
 					stalled := watchStalls(t)
 					c, _ := n.askedAt(t, spoken)
-					rest := silentTime
+					rest := firstByteTimeout
 					if spoken {
-						rest = idleTime
+						rest = idleTimeout
 					}
 					time.Sleep(rest - 200*time.Millisecond)
 					io.WriteString(c, text[:first])
@@ -132,7 +132,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			n := startNodeOn(t, listen(t), func(c *Config) { c.Sockets = 128 }, server)
-			for range 2 * n.front.most {
+			for range 2 * n.front.maxConnections {
 				io.WriteString(n.dial(t), part)
 			}
 			c := n.dial(t)
