--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -15,11 +15,11 @@
 		3 * time.Second, 4096 * time.Millisecond, time.Minute} {
 		kill := min(longest, 3*time.Second) + 700*time.Millisecond
 		e := newShutdownPhases(longest)
-		if e.closeAsked > e.answered || e.answered >= e.closed || e.closed >= kill {
+		if e.keepServing > e.answered || e.answered >= e.closed || e.closed >= kill {
 			t.Errorf("longest deadline %v: %+v, want one after the other and all before %v", longest, e, kill)
 		}
-		if longest >= 50*time.Millisecond && e.closeAsked <= 400*time.Millisecond {
-			t.Errorf("longest deadline %v: clients are asked to close after %v, while new ones come", longest, e.closeAsked)
+		if longest >= 50*time.Millisecond && e.keepServing <= 400*time.Millisecond {
+			t.Errorf("longest deadline %v: clients are asked to close after %v, while new ones come", longest, e.keepServing)
 		}
 		if later := kill - e.answered; later < 200*time.Millisecond || later > 400*time.Millisecond {
 			t.Errorf("longest deadline %v: the last answers are due %v before the kill", longest, later)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -60,14 +60,6 @@
 	guard    *time.Timer
 }
 
-// answer is a final answer to a client.
-type response struct {
-	status     int
-	retryAfter time.Duration // of a refusal; 0: no advice
-	header     http.Header
-	body       []byte
-}
-
 // New makes a node; Run starts it.
 func New(cfg Config, log *slog.Logger) *Node {
 	n := &Node{cfg: cfg, log: log, start: time.Now(), inbox: make(chan func(), inboxSize), ended: make(chan struct{}),
--- /dev/null
+++ b/internal/node/parse.go
@@ -0,0 +1,190 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+	"time"
+
+	"bankshift/balancer"
+)
+
+const (
+	maxIDLength      = 128 // bytes
+	maxClientTimeout = time.Hour
+	maxWorkHint      = 1e12 // µs
+)
+
+// requestError is why a client's request is rejected.
+type requestError struct {
+	status int // of the response
+	err    error
+}
+
+func (e *requestError) Error() string { return e.err.Error() }
+func (e *requestError) Unwrap() error { return e.err }
+
+// rejectionf returns a requestError with a formatted message.
+func rejectionf(status int, format string, args ...any) *requestError {
+	return &requestError{status: status, err: fmt.Errorf(format, args...)}
+}
+
+// parseRequest reads a client's request to the end of its body and checks it. The
+// error is a *requestError.
+func (f *frontend) parseRequest(w http.ResponseWriter, r *http.Request) (*request, balancer.RequestArrived, error) {
+	// Taken first: while the body is received, or while the request waits behind
+	// another one, the client's timeout is running.
+	receivedAt := requestReceivedAt(r)
+	arrival, timeout, err := f.parseHead(r)
+	if err != nil {
+		return nil, arrival, err
+	}
+	body, err := readBody(w, r)
+	if err != nil {
+		return nil, arrival, err
+	}
+	req := &request{
+		id:       arrival.ID,
+		deadline: receivedAt.Add(timeout - AnswerMargin),
+		answer:   make(chan response, 1),
+		out: &outbound{
+			method: r.Method,
+			url:    originURL(r.URL),
+			host:   r.Host,
+			header: endToEndHeaders(r.Header),
+			body:   body,
+		},
+	}
+	return req, arrival, nil
+}
+
+// requestReceivedAt returns when the bytes were received from which the request's
+// head has been read.
+func requestReceivedAt(r *http.Request) time.Time {
+	if c, ok := r.Context().Value(clientConnKey{}).(*clientConn); ok {
+		return c.lastReceivedAt()
+	}
+	return time.Now()
+}
+
+// parseHead checks a request's head. It returns what the balancer has to know of
+// the request and how long its client waits.
+func (f *frontend) parseHead(r *http.Request) (arrival balancer.RequestArrived, timeout time.Duration, err error) {
+	if err := checkFraming(r); err != nil {
+		return arrival, 0, err
+	}
+	arrival.ID, err = parseRequestID(r.Header)
+	if err != nil {
+		return arrival, 0, err
+	}
+	arrival.Class = r.Header.Get("X-Class")
+	if err := f.checkClass(arrival.Class, r); err != nil {
+		return arrival, 0, err
+	}
+	timeout, err = parseTimeout(r.Header.Get("X-Deadline"))
+	if err != nil {
+		return arrival, 0, rejectionf(http.StatusBadRequest, "X-Deadline: %w", err)
+	}
+	arrival.Tenant = r.Header.Get("X-Tenant")
+	arrival.IsRetry = r.Header.Get("X-Retry") == "1"
+	arrival.WorkHint, arrival.HasWorkHint = parseWorkHint(r.Header.Get("X-Cost-Hint"))
+	arrival.Key = r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:]
+	return arrival, timeout, nil
+}
+
+// checkFraming rejects requests whose end two readers could see in two places:
+// one could hide another request in its body, which the next reader would run.
+// Clients use Content-Length alone. net/http drops it where there is a transfer
+// coding as well, and drops the coding in HTTP/1.0, so neither can be told from a
+// sound request.
+func checkFraming(r *http.Request) error {
+	switch {
+	case !r.ProtoAtLeast(1, 1):
+		return rejectionf(http.StatusHTTPVersionNotSupported, "want HTTP/1.1")
+	case len(r.TransferEncoding) > 0:
+		return rejectionf(http.StatusLengthRequired, "want Content-Length and no transfer coding")
+	case r.Method == http.MethodGet && r.ContentLength != 0:
+		return rejectionf(http.StatusBadRequest, "a GET with a body")
+	}
+	return nil
+}
+
+func parseRequestID(header http.Header) (balancer.RequestID, error) {
+	id := header.Get("X-Request-Id")
+	if id == "" || len(id) > maxIDLength || len(header.Values("X-Request-Id")) > 1 {
+		return "", rejectionf(http.StatusBadRequest, "want one X-Request-Id of at most %d bytes", maxIDLength)
+	}
+	return balancer.RequestID(id), nil
+}
+
+// checkClass checks that a request's method and headers agree with its class: the
+// method tells an endpoint what a repetition does, so it must be what the balancer
+// assumes.
+func (f *frontend) checkClass(class string, r *http.Request) error {
+	idempotency, known := f.idempotency[class]
+	if !known {
+		return rejectionf(http.StatusBadRequest, "unknown X-Class %q", class)
+	}
+	method := http.MethodPost
+	if idempotency == balancer.Idempotent {
+		method = http.MethodGet
+	}
+	if r.Method != method {
+		return rejectionf(http.StatusMethodNotAllowed, "class %s wants %s", class, method)
+	}
+	keys := r.Header.Values("Idempotency-Key")
+	missing := idempotency == balancer.IdempotentByKey && (len(keys) != 1 || keys[0] == "")
+	unexpected := idempotency == balancer.NotIdempotent && len(keys) > 0
+	if missing || unexpected {
+		return rejectionf(http.StatusBadRequest, "class %s and Idempotency-Key do not agree", class)
+	}
+	return nil
+}
+
+// parseTimeout parses a time in seconds, and limits it to maxClientTimeout.
+func parseTimeout(s string) (time.Duration, error) {
+	seconds, err := strconv.ParseFloat(s, 64)
+	if err != nil {
+		return 0, err
+	}
+	positive := seconds > 0 // false for NaN
+	if !positive || math.IsInf(seconds, 0) {
+		return 0, fmt.Errorf("%v is no time to wait", seconds)
+	}
+	return time.Duration(math.Min(seconds, maxClientTimeout.Seconds()) * float64(time.Second)), nil
+}
+
+// parseWorkHint parses a client's estimate of the work, in µs. One that cannot be
+// used is ignored.
+func parseWorkHint(s string) (hint time.Duration, ok bool) {
+	microseconds, err := strconv.ParseFloat(s, 64)
+	valid := err == nil && microseconds >= 0 && microseconds < maxWorkHint
+	if !valid {
+		return 0, false
+	}
+	return time.Duration(microseconds * float64(time.Microsecond)), true
+}
+
+// readBody reads a request's body to its end.
+func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	var tooLong *http.MaxBytesError
+	switch {
+	case errors.As(err, &tooLong):
+		return nil, rejectionf(http.StatusRequestEntityTooLarge, "the body is over %d bytes", maxBody)
+	case err != nil:
+		return nil, rejectionf(http.StatusBadRequest, "reading the body: %w", err)
+	}
+	return body, nil
+}
+
+// originURL returns the path and query of a request's URL, without scheme and
+// host.
+func originURL(u *url.URL) *url.URL {
+	return &url.URL{Path: u.Path, RawPath: u.RawPath, RawQuery: u.RawQuery, ForceQuery: u.ForceQuery}
+}
--- /dev/null
+++ b/internal/node/response.go
@@ -0,0 +1,105 @@
+package node
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+const (
+	responseWriteTimeout = 5 * time.Second        // for a whole response
+	rejectionTimeout     = 200 * time.Millisecond // for reading the rest of a rejected request
+)
+
+// response is the final response to a client. With a status other than 200 its
+// body is the status's text.
+type response struct {
+	status     int
+	retryAfter time.Duration // of a rejection; 0: none is advised
+	header     http.Header
+	body       []byte
+}
+
+// writeResponse writes the response to a client. An error means that the client
+// has left, and is ignored.
+func writeResponse(w http.ResponseWriter, resp response) {
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
+	header := w.Header()
+	for name, values := range endToEndHeaders(resp.header) {
+		header[name] = values
+	}
+	if resp.status != http.StatusOK {
+		resp.body = []byte(http.StatusText(resp.status) + "\n")
+		header.Set("Content-Type", "text/plain; charset=utf-8")
+	}
+	if resp.retryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(resp.retryAfter.Seconds(), 'f', 3, 64))
+	}
+	header.Set("Content-Length", strconv.Itoa(len(resp.body)))
+	w.WriteHeader(resp.status)
+	w.Write(resp.body)
+}
+
+// reject answers a request that cannot be parsed and closes its connection. What
+// follows on it may belong to this request's body as the client sees it, so none
+// of it is parsed as a request, and the response does not wait for the body.
+func reject(w http.ResponseWriter, r *http.Request, err error) {
+	w.Header().Set("Connection", "close")
+	if c, ok := r.Context().Value(clientConnKey{}).(*clientConn); ok {
+		if c.wasTightened() {
+			closeAfterResponse(w)
+			return
+		}
+		c.setRequestDeadline(time.Now().Add(rejectionTimeout))
+	}
+	status := http.StatusBadRequest
+	var reason *requestError
+	if errors.As(err, &reason) {
+		status = reason.status
+	}
+	http.Error(w, err.Error(), status)
+}
+
+// closeAfterResponse rejects a request that is incomplete and closes its
+// connection at once, as others wait for its slot: net/http would keep it open for
+// a while.
+func closeAfterResponse(w http.ResponseWriter) {
+	c, _, err := http.NewResponseController(w).Hijack()
+	if err != nil {
+		return // the connection has ended
+	}
+	defer c.Close()
+	c.SetWriteDeadline(time.Now().Add(rejectionTimeout))
+	io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+}
+
+// hopByHopHeaders concern one connection only and are not passed on.
+var hopByHopHeaders = []string{
+	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
+	"Expect", "Content-Length", "X-Load", "X-Not-Run",
+}
+
+// protectedHeaders are passed on even if the Connection header names them:
+// without them an endpoint could not recognize a repetition.
+var protectedHeaders = []string{"X-Request-Id", "Idempotency-Key"}
+
+// endToEndHeaders returns a copy of the headers that are passed on.
+func endToEndHeaders(header http.Header) http.Header {
+	out := header.Clone()
+	for _, line := range header.Values("Connection") {
+		for name := range strings.SplitSeq(line, ",") {
+			name = http.CanonicalHeaderKey(strings.TrimSpace(name))
+			if !slices.Contains(protectedHeaders, name) {
+				out.Del(name)
+			}
+		}
+	}
+	for _, name := range hopByHopHeaders {
+		out.Del(name)
+	}
+	return out
+}
