--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"bankshift/internal/sockets"
 	"cmp"
 	"context"
 	"net"
@@ -98,7 +99,7 @@
 		cancelRequests: func() {},
 	}
 	conn.readAheadStopped.L = &conn.mu
-	if !silent(c) {
+	if !sockets.Quiet(c) {
 		conn.queuedSince = queuedSince
 	}
 	return conn
@@ -275,7 +276,7 @@
 func (c *clientConn) drain() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.receivedSinceIdle || c.readingAhead || !silent(c.Conn) {
+	if c.receivedSinceIdle || c.readingAhead || !sockets.Quiet(c.Conn) {
 		return c.draining
 	}
 	c.draining = true
--- a/internal/node/departure.go
+++ b/internal/node/departure.go
@@ -1,9 +1,8 @@
 package node
 
 import (
+	"bankshift/internal/sockets"
 	"context"
-	"errors"
-	"syscall"
 	"time"
 )
 
@@ -20,11 +19,11 @@
 // which is being read ahead.
 func (c *clientConn) clientLeft(ctx context.Context) bool {
 	for waited := time.Duration(0); ; waited += departurePollInterval {
-		n, err := peek(c.Conn)
-		if connectionLost(n, err) {
+		n, err := sockets.Peek(c.Conn)
+		if sockets.Closed(n, err) {
 			return true
 		}
-		if n < 1 || waited >= departureCheckTime || !sleep(ctx, departurePollInterval) {
+		if n < 1 || waited >= departureCheckTime || !sockets.Sleep(ctx, departurePollInterval) {
 			return ctx.Err() != nil // it left while its earlier requests were served, or was aborted
 		}
 	}
@@ -33,21 +32,5 @@
 // clientLeftNow reports whether the end of the client's connection is what a read
 // would return next.
 func (c *clientConn) clientLeftNow() bool {
-	return connectionLost(peek(c.Conn))
-}
-
-// connectionLost reports whether a peek has found the connection's end.
-func connectionLost(n int, err error) bool {
-	if err == nil {
-		return n == 0
-	}
-	for _, errno := range []syscall.Errno{
-		syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
-		syscall.EPIPE, syscall.ECONNABORTED, syscall.ENOTCONN,
-	} {
-		if errors.Is(err, errno) {
-			return true
-		}
-	}
-	return false
+	return sockets.Closed(sockets.Peek(c.Conn))
 }
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -62,7 +62,7 @@
 		Handler:           f,
 		ReadHeaderTimeout: firstByteTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHead,
+		MaxHeaderBytes:    maxHeadBytes,
 		ErrorLog:          slog.NewLogLogger(f.node.log.Handler(), slog.LevelDebug),
 		ConnState:         f.connections.trackState,
 		ConnContext:       f.connections.connContext,
@@ -125,7 +125,7 @@
 		if c.clientLeft(ctx) {
 			return response{}, false
 		}
-		req.out.left = c.clientLeftNow
+		req.out.ClientLeft = c.clientLeftNow
 	}
 	req.open, req.end = context.WithCancel(ctx)
 	defer req.end()
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"bankshift/internal/sockets"
 	"context"
 	"errors"
 	"log/slog"
@@ -27,14 +28,14 @@
 		if err == nil {
 			return ln, nil
 		}
-		retryable := local(err) || errors.Is(err, syscall.EADDRINUSE)
+		retryable := sockets.LocalFailure(err) || errors.Is(err, syscall.EADDRINUSE)
 		if attempt == maxListenAttempts || !retryable {
 			return nil, err
 		}
 		if attempt == 1 {
 			log.Warn("listening for clients failed, retrying", "err", err)
 		}
-		if !sleep(ctx, listenRetryInterval) {
+		if !sockets.Sleep(ctx, listenRetryInterval) {
 			return nil, err
 		}
 	}
--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -12,10 +12,14 @@
 	"time"
 
 	"bankshift/balancer"
+	"bankshift/internal/upstream"
 )
 
+// Limits of a client's request.
 const (
-	maxIDLength      = 128 // bytes
+	maxHeadBytes     = 16 << 10 // bytes
+	maxBodyBytes     = 64 << 10 // bytes
+	maxIDLength      = 128      // bytes
 	maxClientTimeout = time.Hour
 	maxWorkHint      = 1e12 // µs
 )
@@ -52,12 +56,12 @@
 		id:       arrival.ID,
 		deadline: receivedAt.Add(timeout - AnswerMargin),
 		answer:   make(chan response, 1),
-		out: &outbound{
-			method: r.Method,
-			url:    originURL(r.URL),
-			host:   r.Host,
-			header: endToEndHeaders(r.Header),
-			body:   body,
+		out: &upstream.Request{
+			Method: r.Method,
+			URL:    originURL(r.URL),
+			Host:   r.Host,
+			Header: endToEndHeaders(r.Header),
+			Body:   body,
 		},
 	}
 	return req, arrival, nil
@@ -172,11 +176,11 @@
 
 // readBody reads a request's body to its end.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	var tooLong *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLong):
-		return nil, rejectionf(http.StatusRequestEntityTooLarge, "the body is over %d bytes", maxBody)
+		return nil, rejectionf(http.StatusRequestEntityTooLarge, "the body is over %d bytes", maxBodyBytes)
 	case err != nil:
 		return nil, rejectionf(http.StatusBadRequest, "reading the body: %w", err)
 	}
