--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -170,13 +170,13 @@
 
 // New starts the result of a run of a scenario.
 func New(s *scenario.Scenario, kind string) *Run {
-	return &Run{Scenario: s.Name, Kind: kind, Version: version(), Seed: s.Seed, Seconds: (s.Length - s.Warmup).Seconds(),
+	return &Run{Scenario: s.Name, Kind: kind, Version: Version(), Seed: s.Seed, Seconds: (s.Length - s.Warmup).Seconds(),
 		Nodes: s.Fleet.Nodes, Servers: s.Servers.Count, Latency: map[string]Latency{}, Peaks: map[string]Peak{},
 		Events: []string{}, Violations: []string{}, Recovery: -1, Machine: ThisMachine()}
 }
 
-// version is the revision that the build was made from, if it knows.
-func version() string {
+// Version is the revision that the build was made from, if it knows.
+func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
--- /dev/null
+++ b/internal/lab/scaling/reload.go
@@ -0,0 +1,111 @@
+package scaling
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"syscall"
+	"time"
+)
+
+// reloadsPerSize is how many SIGHUPs are measured at each size.
+const reloadsPerSize = 6
+
+// reload measures a SIGHUP that moves discovery to another address.
+func reload(ctx context.Context, e *Env) ([]Figure, error) {
+	cpu := Figure{
+		Name: "SIGHUP: processor", Unit: "ms", Over: "servers", Planned: plannedServers, Mechanism: mechanismReload,
+		Note: "the whole file is read and the whole list fetched, for discovery's address alone; all else wants a restart",
+	}
+	traffic := Figure{
+		Name: "SIGHUP: list traffic", Unit: "KB", Over: "servers", Planned: plannedServers, Mechanism: mechanismReloadFetch,
+	}
+	daily := Figure{
+		Name: "SIGHUP for each change of configuration: list traffic", Unit: "bytes/s", Over: "servers", Planned: plannedServers,
+		Budget: budgetBytes, Mechanism: mechanismReloadFetch, Note: fmt.Sprintf("%d changes a day, spread evenly", plannedConfigChanges),
+	}
+	for _, servers := range e.servers() {
+		use, err := e.measureReloads(ctx, servers)
+		if err != nil {
+			return nil, err
+		}
+		x := float64(servers)
+		cpu.add(x, use.cpuMS)
+		traffic.add(x, use.listKB)
+		daily.add(x, use.listKB*1e3*plannedConfigChanges/(24*time.Hour).Seconds())
+	}
+	return []Figure{cpu, traffic, daily}, nil
+}
+
+// reloadUse is what one reload takes.
+type reloadUse struct {
+	cpuMS  float64
+	listKB float64
+}
+
+// reloadTotals are a node's totals at one time.
+type reloadTotals struct {
+	cpu       time.Duration
+	listBytes int64
+}
+
+func (n *runningNode) totals() (reloadTotals, error) {
+	usage, err := n.Usage()
+	return reloadTotals{cpu: usage.CPU, listBytes: n.listBytes()}, err
+}
+
+// measureReloads moves discovery between two addresses. What the idle node
+// takes in the same time is subtracted.
+func (e *Env) measureReloads(ctx context.Context, servers int) (reloadUse, error) {
+	n, err := e.startNode(ctx, idleCase{servers: servers}, 2)
+	if err != nil {
+		return reloadUse{}, err
+	}
+	defer n.close()
+	interval := max(e.measure()/20, 50*time.Millisecond)
+	if err := sleep(ctx, e.rest()); err != nil {
+		return reloadUse{}, err
+	}
+	start, err := n.totals()
+	if err != nil {
+		return reloadUse{}, err
+	}
+	if err := sleep(ctx, interval*reloadsPerSize); err != nil {
+		return reloadUse{}, err
+	}
+	afterIdle, err := n.totals()
+	if err != nil {
+		return reloadUse{}, err
+	}
+	for i := range reloadsPerSize {
+		if err := n.moveDiscovery(n.registries[(i+1)%len(n.registries)].Addr(0)); err != nil {
+			return reloadUse{}, err
+		}
+		if err := sleep(ctx, interval); err != nil {
+			return reloadUse{}, err
+		}
+	}
+	end, err := n.totals()
+	if err != nil {
+		return reloadUse{}, err
+	}
+	cpu := (end.cpu - afterIdle.cpu) - (afterIdle.cpu - start.cpu)
+	bytes := (end.listBytes - afterIdle.listBytes) - (afterIdle.listBytes - start.listBytes)
+	return reloadUse{
+		cpuMS:  cpu.Seconds() * 1e3 / reloadsPerSize,
+		listKB: float64(bytes) / 1e3 / reloadsPerSize,
+	}, nil
+}
+
+// moveDiscovery changes the address of discovery in the configuration, and
+// makes the node read it.
+func (n *runningNode) moveDiscovery(address string) error {
+	config, err := n.config(address)
+	if err != nil {
+		return err
+	}
+	if err := os.WriteFile(n.configPath, config, 0o600); err != nil {
+		return err
+	}
+	return n.Signal(syscall.SIGHUP)
+}
--- a/internal/lab/scaling/slopes_test.go
+++ b/internal/lab/scaling/scaling_test.go
@@ -7,6 +7,8 @@
 	"fmt"
 	"math"
 	"os"
+	"path/filepath"
+	"regexp"
 	"strings"
 	"testing"
 	"time"
@@ -14,11 +16,11 @@
 	"bankshift/internal/lab/fleet"
 )
 
-// program is the node, built once.
+// program is the path of the node's program, built once.
 var program string
 
 func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "bankshift-slopes-test-")
+	dir, err := os.MkdirTemp("", "bankshift-scaling-test-")
 	if err == nil {
 		program, err = fleet.Build(context.Background(), dir)
 	}
@@ -50,8 +52,9 @@
 	}
 }
 
-// TestAllAtSmallSizes makes every measurement once, too short to tell anything.
-// Benchmarks share package testing's flags, so they are in one group.
+// TestAllAtSmallSizes makes every measurement once, too short for its figures to
+// mean anything. Benchmarks share package testing's flags, so they are in one
+// group.
 func TestAllAtSmallSizes(t *testing.T) {
 	groups := [][]string{{"idle"}, {"tenants", "changes"}, {"sighup"}, {"config", "decide", "list", "registry"}, {"added"}}
 	count := 0
@@ -65,15 +68,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			check(t, r, names)
+			checkReport(t, r, names)
 		})
 	}
 	if count != len(All) {
-		t.Errorf("%d of %d measurements are tried", count, len(All))
+		t.Errorf("%d of %d measurements are tested", count, len(All))
 	}
 }
 
-func check(t *testing.T, r *Report, names []string) {
+func checkReport(t *testing.T, r *Report, names []string) {
 	t.Helper()
 	seen := map[string]bool{}
 	for _, f := range r.Figures {
@@ -81,6 +84,7 @@
 		if f.Unit == "" || f.Over == "" || f.Planned <= 0 || f.Mechanism == "" || len(f.Points) < minPoints {
 			t.Errorf("%+v lacks something", f)
 		}
+		checkMechanism(t, f.Mechanism)
 		if strings.Contains(f.Name, "ready") || strings.Contains(f.Name, "size") || strings.Contains(f.Name, "decide") || strings.Contains(f.Name, "memory") {
 			for _, p := range f.Points {
 				if p.Y <= 0 {
@@ -91,7 +95,7 @@
 	}
 	for _, n := range names {
 		if !seen[n] {
-			t.Errorf("%s gave no figure", n)
+			t.Errorf("%s has no figure", n)
 		}
 	}
 	var text, table bytes.Buffer
@@ -107,8 +111,8 @@
 	}
 }
 
-// TestSaysWhatCannotBeTrusted: in the table and for the exit code.
-func TestSaysWhatCannotBeTrusted(t *testing.T) {
+// TestViolationsAreReported checks the table.
+func TestViolationsAreReported(t *testing.T) {
 	e := &Env{}
 	e.violation("held up for %d s", 7)
 	var b bytes.Buffer
@@ -122,3 +126,58 @@
 		t.Errorf("%v", err)
 	}
 }
+
+// checkMechanism checks that the files of a mechanism declare its functions.
+func checkMechanism(t *testing.T, mechanism string) {
+	t.Helper()
+	for reference := range strings.SplitSeq(mechanism, "; ") {
+		path, names, _ := strings.Cut(reference, " ")
+		source, err := os.ReadFile(filepath.Join("../../..", path))
+		if err != nil {
+			t.Errorf("mechanism %q: %v", mechanism, err)
+			continue
+		}
+		for name := range strings.SplitSeq(names, ", ") {
+			receiver, method, isMethod := strings.Cut(name, ".")
+			declaration := `(?m)^func ` + name + `\(`
+			if isMethod {
+				declaration = `(?m)^func \(\w+ \*?` + receiver + `\) ` + method + `\(`
+			}
+			if !regexp.MustCompile(declaration).Match(source) {
+				t.Errorf("mechanism %q: %s has no %s", mechanism, path, name)
+			}
+		}
+	}
+}
+
+// TestStoredReport decodes the report that is stored with the documentation.
+func TestStoredReport(t *testing.T) {
+	raw, err := os.ReadFile("../../../docs/capacity/slopes.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	var r Report
+	if err := decoder.Decode(&r); err != nil {
+		t.Fatal(err)
+	}
+	if r.Version == "" || len(r.Figures) == 0 {
+		t.Errorf("version %q, %d figures", r.Version, len(r.Figures))
+	}
+	measured := map[string]bool{}
+	for _, f := range r.Figures {
+		measured[strings.TrimPrefix(f.Command, "bankshift-lab slopes ")] = true
+		stored := f
+		if err := f.fit(); err != nil || !near(f.Slope, stored.Slope) || !near(f.Intercept, stored.Intercept) || !near(f.AtPlanned, stored.AtPlanned) {
+			t.Errorf("%s: fits %v and %v, stored %v and %v, error %v", f.Name, f.Slope, f.Intercept, stored.Slope, stored.Intercept, err)
+		}
+	}
+	for _, name := range Names() {
+		if !measured[name] {
+			t.Errorf("no figure of measurement %s", name)
+		}
+	}
+}
+
+func near(a, b float64) bool { return math.Abs(a-b) <= 1e-9*math.Abs(b) }
