--- /dev/null
+++ b/internal/lab/fleet/attempts.go
@@ -0,0 +1,82 @@
+package fleet
+
+import "bankshift/internal/lab/load"
+
+// recordAttempts counts the attempts from the servers' execution logs, and
+// checks that no request that is not idempotent was executed twice, whatever
+// its tries. It returns how many copies overlapped.
+func (x *measurement) recordAttempts(stream []load.Request) (overlaps int) {
+	m := x.run
+	zones := m.loggedZones()
+	for i := range stream {
+		r := &stream[i]
+		executions := 0
+		for try := range x.requests[i].tries {
+			counts := x.recordTry(r, load.TryID(r.ID, try), zones)
+			executions += counts.executions
+			overlaps += counts.overlaps
+		}
+		if r.Idempotency == load.NotIdempotent && executions > 1 {
+			m.violation("%s is unsafe and ran %d times", r.ID, executions)
+		}
+	}
+	return overlaps
+}
+
+// tryCounts is what the servers saw of one try.
+type tryCounts struct {
+	copies     int
+	executions int
+	overlaps   int
+}
+
+// recordTry counts the attempts of one try, at the servers of some zones.
+func (x *measurement) recordTry(r *load.Request, id string, zones []string) tryCounts {
+	m := x.run
+	var counts tryCounts
+	for _, zone := range zones {
+		seen, ok := m.executionLogs[zone].Request(id)
+		if !ok {
+			continue
+		}
+		counts.copies += seen.Copies
+		counts.executions += seen.Executions
+		counts.overlaps += seen.Overlaps
+		if x.measured(r) {
+			x.recordCrossings(m.nodes[r.Node].zone, zone, seen.Copies)
+		}
+	}
+	x.windowOf(r).Attempts += counts.copies
+	if x.measured(r) {
+		q := &x.result.Requests
+		q.Attempts += counts.copies
+		q.Retries += max(0, counts.copies-1)
+	}
+	if limit := m.scenario.Fleet.MaxAttempts; counts.copies > limit {
+		m.violation("%s: %d attempts, %d are allowed", id, counts.copies, limit)
+	}
+	return counts
+}
+
+// recordCrossings counts copies that went from one zone to another.
+func (x *measurement) recordCrossings(from, to string, copies int) {
+	q := &x.result.Requests
+	switch {
+	case from == to:
+	case x.run.scenario.Region(from) == x.run.scenario.Region(to):
+		q.CrossZone += copies
+	default:
+		q.CrossRegion += copies
+	}
+}
+
+// loggedZones are the zones with servers, in the scenario's order.
+func (m *run) loggedZones() []string {
+	var zones []string
+	for _, z := range m.scenario.Zones {
+		if m.executionLogs[z.Name] != nil {
+			zones = append(zones, z.Name)
+		}
+	}
+	return zones
+}
--- a/internal/lab/fleet/build.go
+++ b/internal/lab/fleet/build.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 )
 
-// Build builds the node into dir as the deployment does, and gives the
-// program's path. It runs in the module's tree, wherever in it the working
+// Build builds the node into dir as the deployment does, and returns the
+// path of the program. It runs in the module's tree, wherever in it the working
 // directory is.
 func Build(ctx context.Context, dir string) (string, error) {
 	path := filepath.Join(dir, "bankshift")
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -13,13 +13,13 @@
 	"bankshift/internal/lab/scenario"
 )
 
-// node is the program, built once.
-var node string
+// program is the path of the node's program, built once.
+var program string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "bankshift-fleet-test-")
 	if err == nil {
-		node, err = Build(context.Background(), dir)
+		program, err = Build(context.Background(), dir)
 	}
 	code := 1
 	if err == nil {
@@ -104,13 +104,13 @@
 do = "kill-nodes"
 count = 1
 `)
-	r, err := Run(t.Context(), s, Options{Node: node})
+	r, err := Run(t.Context(), s, Options{Node: program})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, b := range r.Violations {
-		if !strings.Contains(b, "generator was late") { // the machine may be busy: that is no fault of a node's
-			t.Errorf("broken: %s", b)
+		if !strings.Contains(b, "generator was late") { // the machine may be busy, which is no fault of a node
+			t.Errorf("violation: %s", b)
 		}
 	}
 	q, c := r.Requests, r.Control
@@ -126,19 +126,19 @@
 	}
 }
 
-// TestLeavesNothingBehind: a run that is called off ends its nodes. Without
-// any it would go on to its end, which is no error.
-func TestLeavesNothingBehind(t *testing.T) {
+// TestCanceledRunEndsItsNodes: without nodes the run would go on to its end,
+// which is no error.
+func TestCanceledRunEndsItsNodes(t *testing.T) {
 	before := children(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go func() { // once its nodes are there
+	go func() { // once it has nodes
 		for ctx.Err() == nil && children(t) == before {
 			time.Sleep(5 * time.Millisecond)
 		}
 		cancel()
 	}()
-	if _, err := Run(ctx, parse(t, small), Options{Node: node}); !errors.Is(err, context.Canceled) {
+	if _, err := Run(ctx, parse(t, small), Options{Node: program}); !errors.Is(err, context.Canceled) {
 		t.Errorf("ends with %v", err)
 	}
 	if after := children(t); after != before {
@@ -160,8 +160,8 @@
 	return out.String()
 }
 
-func TestCrashIsTold(t *testing.T) {
-	p, err := Start(t.Context(), node, t.TempDir(), "n0", "127.0.0.1:1", []byte(`{"settings":{}}`), 1)
+func TestFailedStartIsReported(t *testing.T) {
+	p, err := Start(t.Context(), program, t.TempDir(), "n0", "127.0.0.1:1", []byte(`{"settings":{}}`), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestUse(t *testing.T) {
+func TestUsage(t *testing.T) {
 	u, err := usageOf(os.Getpid())
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
@@ -187,11 +187,11 @@
 		t.Errorf("%v, %v", got, err)
 	}
 	if _, err := cpuOf([]byte("7 (a")); err == nil {
-		t.Error("half a line is read")
+		t.Error("accepted half a line")
 	}
 }
 
-func TestRefusesWhatItCannotPlay(t *testing.T) {
+func TestRejectsWhatItCannotPlay(t *testing.T) {
 	for _, change := range []func(*scenario.Scenario){
 		func(s *scenario.Scenario) { s.Fleet.Nodes = MaxNodes + 1 },
 		func(s *scenario.Scenario) { s.Servers.Count = MaxServers + 1 },
@@ -199,12 +199,12 @@
 	} {
 		s := parse(t, small)
 		change(s)
-		if _, err := Run(t.Context(), s, Options{Node: node}); !errors.Is(err, ErrTooLarge) {
+		if _, err := Run(t.Context(), s, Options{Node: program}); !errors.Is(err, ErrTooLarge) {
 			t.Errorf("ends with %v", err)
 		}
 	}
 	s := parse(t, small+"[[event]]\nat = \"1s\"\nfor = \"1s\"\ndo = \"cut\"\nzone = \"a\"\n")
-	if _, err := Run(t.Context(), s, Options{Node: node}); err == nil || !strings.Contains(err.Error(), "cut") {
+	if _, err := Run(t.Context(), s, Options{Node: program}); err == nil || !strings.Contains(err.Error(), "cut") {
 		t.Errorf("ends with %v", err)
 	}
 }
--- /dev/null
+++ b/internal/lab/fleet/nodes.go
@@ -0,0 +1,196 @@
+package fleet
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"sync"
+	"time"
+
+	"bankshift/internal/lab/load"
+	"bankshift/internal/lab/model"
+	"bankshift/internal/lab/scenario"
+	"bankshift/internal/lab/setup"
+)
+
+// nodeSlot is a node's place: its processes, one after the other. Fields below
+// address are guarded by run.mu.
+type nodeSlot struct {
+	index   int
+	zone    string
+	address string
+
+	processes []*Process
+	available bool // ready, and not about to end
+	draining  bool // its present process shuts down in order
+	diedAt    time.Time
+}
+
+// process is the present process.
+func (n *nodeSlot) process() *Process { return n.processes[len(n.processes)-1] }
+
+// startNodes starts all nodes over the scenario's spread, and waits until they
+// are ready.
+func (m *run) startNodes() error {
+	addresses, err := FreeAddresses(m.scenario.Fleet.Nodes)
+	if err != nil {
+		return err
+	}
+	for i, address := range addresses {
+		m.nodes = append(m.nodes, &nodeSlot{index: i, zone: m.scenario.Node(i).Zone, address: address})
+	}
+	errs := make(chan error, len(m.nodes))
+	for _, n := range m.nodes {
+		go func() {
+			err := m.sleep(time.Duration(n.index) * m.scenario.Fleet.StartSpread.Std() / time.Duration(len(m.nodes)))
+			if err == nil {
+				err = m.startNode(n)
+			}
+			errs <- err
+		}()
+	}
+	var all error
+	for range m.nodes {
+		all = errors.Join(all, <-errs)
+	}
+	return all
+}
+
+// startNode starts a node's next process and waits until it is ready.
+func (m *run) startNode(n *nodeSlot) error {
+	known := m.knownList()
+	m.mu.Lock()
+	incarnation := len(n.processes)
+	m.mu.Unlock()
+	config, err := m.scenario.NodeConfig(n.index, scenario.NodeStart{
+		Incarnation: incarnation,
+		Listen:      n.address,
+		Discovery:   m.registry.Addr(n.index),
+		KnownList:   known,
+	})
+	if err != nil {
+		return fmt.Errorf("fleet: %w", err)
+	}
+	began := time.Now()
+	p, err := Start(m.ctx, m.program, m.dir, m.scenario.Node(n.index).Name, n.address, config, m.threads())
+	if err != nil {
+		return err
+	}
+	m.mu.Lock()
+	n.processes = append(n.processes, p)
+	m.mu.Unlock()
+	if err := p.AwaitReady(m.ctx, began); err != nil {
+		return err
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	n.available = true
+	n.draining = false
+	return nil
+}
+
+// threads is a node's GOMAXPROCS: the whole cores that contain its fraction, as
+// on the platform, where a node sees a machine of its own.
+func (m *run) threads() int { return max(1, int(math.Ceil(m.scenario.Fleet.Cores))) }
+
+// knownList is the present list, as a configuration contains it.
+func (m *run) knownList() json.RawMessage {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	var entries []model.Entry
+	for _, sv := range m.current {
+		if sv.entry.Status != model.Removed {
+			entries = append(entries, sv.entry)
+		}
+	}
+	return model.EncodeSnapshot(m.registry.Version(), entries)
+}
+
+// describeStart says how long the nodes took to be ready.
+func (m *run) describeStart() string {
+	const precision = time.Millisecond / 10
+	soonest := m.nodes[0].process().Ready
+	last := time.Duration(0)
+	for _, n := range m.nodes {
+		ready := n.process().Ready
+		soonest = min(soonest, ready)
+		last = max(last, ready)
+	}
+	return fmt.Sprintf("nodes ready %v to %v after their starts, with GOMAXPROCS=%d and no other limit of the processor",
+		soonest.Round(precision), last.Round(precision), m.threads())
+}
+
+// route assigns clients' connections to nodes as a load balancer in front does:
+// away from a node that shuts down at once, from one that died only after the
+// failover delay. See load.Config.Route.
+func (m *run) route(r *load.Request, try int) (node int, address string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	own := m.nodes[r.Node]
+	unnoticed := !own.draining && try == 0 && time.Since(own.diedAt) < m.scenario.Traffic.FailoverDelay.Std()
+	if own.available || unnoticed {
+		return own.index, own.address
+	}
+	available := func(n *nodeSlot) bool { return n.available }
+	sameZone := func(n *nodeSlot) bool { return n.zone == own.zone }
+	other, ok := setup.AlternativeNode(m.nodes, available, sameZone, int(r.At/time.Microsecond)+try)
+	if !ok {
+		return own.index, ""
+	}
+	return other.index, other.address
+}
+
+// restartNode ends a node with stop and starts it again after the scenario's
+// restart time. It does nothing if the node is away already.
+func (m *run) restartNode(n *nodeSlot, draining bool, stop func(p *Process) error) {
+	m.mu.Lock()
+	if !n.available || m.ended {
+		m.mu.Unlock()
+		return
+	}
+	n.available = false
+	n.draining = draining
+	n.diedAt = time.Now()
+	p := n.process()
+	m.mu.Unlock()
+	if err := stop(p); err != nil {
+		m.violation("%v", err)
+	}
+	if m.sleep(m.scenario.Fleet.RestartTime.Std()) != nil {
+		return
+	}
+	if err := m.startNode(n); err != nil && m.ctx.Err() == nil {
+		m.violation("%v", err)
+	}
+}
+
+// stopNodes ends the nodes in parallel as a planned restart does. A node that
+// had ended by itself is a violation.
+func (m *run) stopNodes() {
+	var stopping sync.WaitGroup
+	for _, n := range m.nodes {
+		p := n.process()
+		if !p.Alive() && n.available {
+			m.violation("%s ended by itself: %v\n%s", p.Name, p.err, p.Log())
+			continue
+		}
+		stopping.Add(1)
+		go func() {
+			defer stopping.Done()
+			if err := p.Stop(m.ctx); err != nil && n.available {
+				m.violation("%v", err)
+			}
+		}()
+	}
+	stopping.Wait()
+}
+
+// killNodes ends what is left of the nodes.
+func (m *run) killNodes() {
+	for _, n := range m.nodes {
+		for _, p := range n.processes {
+			p.Kill()
+		}
+	}
+}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// enough is a time that a busy machine needs to get round to anything.
-const enough = 20 * time.Second
+// longTimeout is more than a busy machine needs for anything here.
+const longTimeout = 20 * time.Second
 
 func serve(t *testing.T, f http.HandlerFunc) func(*Request, int) (int, string) {
 	t.Helper()
@@ -33,7 +33,7 @@
 func stream(n int, every time.Duration, change func(*Request)) []Request {
 	out := make([]Request, n)
 	for i := range out {
-		out[i] = Request{At: time.Duration(i) * every, ID: fmt.Sprintf("q-%d", i), Class: "read", Subject: "u", Deadline: enough}
+		out[i] = Request{At: time.Duration(i) * every, ID: fmt.Sprintf("q-%d", i), Class: "read", Subject: "u", Deadline: longTimeout}
 		if change != nil {
 			change(&out[i])
 		}
@@ -43,7 +43,7 @@
 
 func play(t *testing.T, c Config, s []Request) *Report {
 	t.Helper()
-	c.MaxSendDelay = enough // the machine may be busy: lateness has a test of its own
+	c.MaxSendDelay = longTimeout // the machine may be busy; a test of its own covers the delay
 	r, err := Play(t.Context(), c, s)
 	if err != nil {
 		t.Fatal(err)
@@ -54,15 +54,15 @@
 	return r
 }
 
-// TestIsOpenLoop: a node that answers nothing for a while holds back no
-// request, and is charged for all that waited.
+// TestIsOpenLoop: a node that stalls delays no request, and is charged for all
+// that waited.
 func TestIsOpenLoop(t *testing.T) {
 	const n, stall = 40, 300 * time.Millisecond
-	var came atomic.Int32
+	var received atomic.Int32
 	stalled := make(chan struct{})
 	all := make(chan struct{})
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
-		if came.Add(1) == n {
+		if received.Add(1) == n {
 			close(all)
 		}
 		<-stalled
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestLatencyIsFromTheIntendedTime: with one connection allowed, which is
-// kept, requests due at once wait for each other, and that counts.
+// TestLatencyIsFromTheIntendedTime: with one connection allowed, requests due at
+// the same time wait for each other, and that counts.
 func TestLatencyIsFromTheIntendedTime(t *testing.T) {
 	const n, took = 5, 30 * time.Millisecond
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) { time.Sleep(took) })
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestSpeaksTheProtocol checks what goes over the wire for each effect.
+// TestSpeaksTheProtocol checks what goes over the wire for each kind of idempotency.
 func TestSpeaksTheProtocol(t *testing.T) {
 	var mu sync.Mutex
 	seen := map[string]string{}
@@ -104,7 +104,7 @@
 	})
 	s := stream(3, 0, nil)
 	s[1].Idempotency, s[1].Key, s[1].Tenant = IdempotentByKey, "k-1", "t-1"
-	s[2].Idempotency, s[2].Class, s[2].Header = NotIdempotent, "pay", [][2]string{{"X-Work", "7"}}
+	s[2].Idempotency, s[2].Class, s[2].Headers = NotIdempotent, "pay", []Header{{"X-Work", "7"}}
 	play(t, Config{Route: address}, s)
 	for id, want := range map[string]string{
 		"q-0": "GET /api/u HTTP/1.1 read t= k= h= d=%s body=false",
@@ -117,9 +117,9 @@
 	}
 }
 
-// TestRefusedClientsTryAgain under a new id, after the time that they are
-// told, as often as the scenario says.
-func TestRefusedClientsTryAgain(t *testing.T) {
+// TestRejectedClientsRetry: under a new id, after Retry-After or the backoff, as
+// often as Retries allows.
+func TestRejectedClientsRetry(t *testing.T) {
 	var mu sync.Mutex
 	var ids []string
 	var marks int
@@ -142,56 +142,56 @@
 	}
 }
 
-// TestTriesAgain: what found no node never ran, and what may be repeated does
-// no harm; a failure of anything else is final. Further tries go by the route
-// of their number.
-func TestTriesAgain(t *testing.T) {
+// TestRetriesAfterFailure: a try that reached no node was not executed, and
+// RetryOnFailure allows another; any other failure is final. Route is called
+// with the number of the try.
+func TestRetriesAfterFailure(t *testing.T) {
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Retry") == "" {
 			w.WriteHeader(http.StatusBadGateway)
 		}
 	})
 	for _, c := range []struct {
-		name  string
-		gone  bool // the first node
-		again bool
-		ends  Outcome
-		tries int
+		name           string
+		deadNode       bool // the first one
+		retryOnFailure bool
+		outcome        Outcome
+		tries          int
 	}{{"no node", true, false, Served, 2}, {"safe", false, true, Served, 2}, {"unsafe", false, false, Failed, 1}} {
-		s := stream(1, 0, func(r *Request) { r.RetryOnFailure = c.again })
+		s := stream(1, 0, func(r *Request) { r.RetryOnFailure = c.retryOnFailure })
 		var o Result
 		play(t, Config{Retries: 1, MarkRetries: true, Route: func(r *Request, try int) (int, string) {
-			if c.gone && try == 0 {
+			if c.deadNode && try == 0 {
 				return 1, "127.0.0.1:1"
 			}
 			return address(r, try)
 		}, Done: func(_ int, _ *Request, got Result) { o = got }}, s)
-		if o.Outcome != c.ends || o.Tries != c.tries {
-			t.Errorf("%s: %+v, want %s after %d tries", c.name, o, c.ends, c.tries)
+		if o.Outcome != c.outcome || o.Tries != c.tries {
+			t.Errorf("%s: %+v, want %s after %d tries", c.name, o, c.outcome, c.tries)
 		}
 	}
 }
 
-func TestEndings(t *testing.T) {
+func TestOutcomes(t *testing.T) {
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.Header.Get("X-Class") {
 		case "502":
 			w.WriteHeader(http.StatusBadGateway)
 		case "429":
 			w.WriteHeader(http.StatusTooManyRequests)
-		case "torn":
+		case "truncated":
 			w.Header().Set("Content-Length", "10")
 			io.WriteString(w, "half")
-		case "mute":
+		case "silent":
 			<-r.Context().Done()
-		case "told":
+		case "reports":
 			w.Header().Set("X-Held", "60")
 		}
 	})
 	var mu sync.Mutex
 	got := map[string]Result{}
 	s := stream(6, 0, nil)
-	for i, class := range []string{"502", "429", "torn", "mute", "told", "nobody"} {
+	for i, class := range []string{"502", "429", "truncated", "silent", "reports", "nobody"} {
 		s[i].Class = class
 	}
 	s[3].Deadline = 50 * time.Millisecond
@@ -206,19 +206,19 @@
 		defer mu.Unlock()
 		got[r.Class] = o
 	}}, s)
-	for class, want := range map[string]Outcome{"502": Failed, "429": Rejected, "torn": Failed, "mute": Lost, "told": Served, "nobody": Failed} {
-		if o := got[class]; o.Outcome != want || (o.Err != nil) != (class == "torn" || class == "mute" || class == "nobody") {
+	for class, want := range map[string]Outcome{"502": Failed, "429": Rejected, "truncated": Failed, "silent": Lost, "reports": Served, "nobody": Failed} {
+		if o := got[class]; o.Outcome != want || (o.Err != nil) != (class == "truncated" || class == "silent" || class == "nobody") {
 			t.Errorf("%s: %+v, want %s", class, o, want)
 		}
 	}
-	if o := got["told"]; o.Added != 0 || r.Added.TotalCount() != 1 {
-		t.Errorf("%+v: less time than the server says it had adds nothing", o)
+	if o := got["reports"]; o.Added != 0 || r.Added.TotalCount() != 1 {
+		t.Errorf("%+v: Added is never below 0", o)
 	}
 }
 
-// TestCrossingClose: a node may close a connection as a request goes out on
-// it. That request is sent once more, but for an unsafe one, which may have run.
-func TestCrossingClose(t *testing.T) {
+// TestCloseOfReusedConnection: a node may close a connection while a request is
+// sent on it. That request is sent again, unless it is not idempotent.
+func TestCloseOfReusedConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -245,12 +245,12 @@
 		}
 	}()
 	for _, c := range []struct {
-		effect Idempotency
-		ending Outcome
-		dials  int
+		idempotency Idempotency
+		outcome     Outcome
+		dials       int
 	}{{Idempotent, Served, 2}, {IdempotentByKey, Served, 2}, {NotIdempotent, Failed, 1}} {
 		first := make(chan struct{})
-		s := stream(2, 150*time.Millisecond, func(r *Request) { r.Idempotency = c.effect })
+		s := stream(2, 150*time.Millisecond, func(r *Request) { r.Idempotency = c.idempotency })
 		var last Outcome
 		r := play(t, Config{Route: to(ln.Addr().String()), Done: func(i int, _ *Request, o Result) {
 			if i == 0 {
@@ -260,14 +260,14 @@
 				last = o.Outcome
 			}
 		}}, s)
-		if last != c.ending || r.Dials != c.dials {
-			t.Errorf("effect %d: the second ends %s over %d connections", c.effect, last, r.Dials)
+		if last != c.outcome || r.Dials != c.dials {
+			t.Errorf("idempotency %d: the second ends %s over %d connections", c.idempotency, last, r.Dials)
 		}
 	}
 }
 
-// TestSaysThatItWasLate: such a run is void.
-func TestSaysThatItWasLate(t *testing.T) {
+// TestSendDelay: a run with late sends is not valid.
+func TestSendDelay(t *testing.T) {
 	p := &player{Config: Config{MaxSendDelay: time.Millisecond}, report: &Report{SendDelay: NewHistogram()}}
 	for range 100 {
 		recordDuration(p.report.SendDelay, 500*time.Microsecond)
