--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -54,6 +54,6 @@
 		t.Error(err)
 	}
 	if err := run(strings.NewReader(big[:len(big)/2]), &out); err == nil {
-		t.Error("a truncated batch was taken")
+		t.Error("a truncated batch was accepted")
 	}
 }
