--- a/internal/settings/classes.go
+++ b/internal/settings/classes.go
@@ -25,28 +25,28 @@
 	"work":    true,
 }
 
-func applyWorthBy(worthBy string, s *balancer.Settings) error {
+func applyPriorityBasis(basis string, s *balancer.Settings) error {
 	var err error
-	s.PriorityByWork, err = lookupOptional(byWork, "worth_by", worthBy)
+	s.PriorityByWork, err = lookupOptional(byWork, "worth_by", basis)
 	return err
 }
 
 // class is an element of the section "classes".
 type class struct {
-	Name       string  `json:"name"`
-	Importance float64 `json:"importance"`
-	Aim        int64   `json:"aim_ns"`
-	AimStretch float64 `json:"aim_stretch"`
-	GiveUp     int64   `json:"give_up_ns"`
-	LateWorth  float64 `json:"late_worth"`
+	Name             string  `json:"name"`
+	PriorityWeight   float64 `json:"importance"`
+	LatencyObjective int64   `json:"aim_ns"`
+	ObjectivePerWork float64 `json:"aim_stretch"`
+	Deadline         int64   `json:"give_up_ns"`
+	LateWeight       float64 `json:"late_worth"`
 
-	Effect      string `json:"effect"`
-	KeyScope    string `json:"key_scope"`
-	DedupWindow int64  `json:"dedup_window_ns"`
+	Idempotency         string `json:"effect"`
+	DeduplicationScope  string `json:"key_scope"`
+	DeduplicationWindow int64  `json:"dedup_window_ns"`
 
-	Streamed  bool     `json:"streamed"`
-	Domains   []string `json:"failure_domains_open"`
-	AllowedOn []string `json:"allowed_on"`
+	Streamed            bool     `json:"streamed"`
+	AllowedZones        []string `json:"failure_domains_open"`
+	AllowedMachineTypes []string `json:"allowed_on"`
 }
 
 func applyClasses(classes []class, s *balancer.Settings) error {
@@ -70,7 +70,7 @@
 }
 
 func (c class) decode() (balancer.Class, error) {
-	idempotency, err := lookup(idempotencies, "effect", c.Effect)
+	idempotency, err := lookup(idempotencies, "effect", c.Idempotency)
 	if err != nil {
 		return balancer.Class{}, err
 	}
@@ -80,24 +80,24 @@
 	}
 	return balancer.Class{
 		Name:                c.Name,
-		PriorityWeight:      c.Importance,
-		LatencyObjective:    nanoseconds(c.Aim),
-		ObjectivePerWork:    c.AimStretch,
-		Deadline:            nanoseconds(c.GiveUp),
-		LateWeight:          c.LateWorth,
+		PriorityWeight:      c.PriorityWeight,
+		LatencyObjective:    nanoseconds(c.LatencyObjective),
+		ObjectivePerWork:    c.ObjectivePerWork,
+		Deadline:            nanoseconds(c.Deadline),
+		LateWeight:          c.LateWeight,
 		Idempotency:         idempotency,
 		DeduplicationScope:  scope,
-		DeduplicationWindow: nanoseconds(c.DedupWindow),
+		DeduplicationWindow: nanoseconds(c.DeduplicationWindow),
 		Streamed:            c.Streamed,
-		AllowedZones:        c.Domains,
-		AllowedMachineTypes: c.AllowedOn,
+		AllowedZones:        c.AllowedZones,
+		AllowedMachineTypes: c.AllowedMachineTypes,
 	}, nil
 }
 
 // deduplicationScope must be stated only where requests carry an idempotency key.
 func (c class) deduplicationScope(i balancer.Idempotency) (balancer.DeduplicationScope, error) {
 	if i == balancer.IdempotentByKey {
-		return lookup(deduplicationScopes, "key_scope", c.KeyScope)
+		return lookup(deduplicationScopes, "key_scope", c.DeduplicationScope)
 	}
-	return lookupOptional(deduplicationScopes, "key_scope", c.KeyScope)
+	return lookupOptional(deduplicationScopes, "key_scope", c.DeduplicationScope)
 }
--- a/internal/settings/endpoints.go
+++ b/internal/settings/endpoints.go
@@ -9,7 +9,7 @@
 	"on_request": true,
 }
 
-func applyMembershipMode(mode string, s *balancer.Settings) error {
+func applyUpdateMode(mode string, s *balancer.Settings) error {
 	var err error
 	s.EndpointsOnDemand, err = lookupOptional(onDemand, "membership_mode", mode)
 	return err
@@ -39,11 +39,11 @@
 
 // endpoints is the section "specifics": how this kind of service behaves.
 type endpoints struct {
-	WarmKeys       bool `json:"warm_keys"`
-	PassesDeadline bool `json:"passes_deadline"`
+	KeyAffinity        bool `json:"warm_keys"`
+	PropagatesDeadline bool `json:"passes_deadline"`
 }
 
 func (e endpoints) apply(s *balancer.Settings) {
-	s.KeyAffinity = e.WarmKeys
-	s.PropagatesDeadline = e.PassesDeadline
+	s.KeyAffinity = e.KeyAffinity
+	s.PropagatesDeadline = e.PropagatesDeadline
 }
--- a/internal/settings/loadreports.go
+++ b/internal/settings/loadreports.go
@@ -10,12 +10,12 @@
 
 // loadReports is the section "report".
 type loadReports struct {
-	How    string   `json:"how"`
+	Source string   `json:"how"`
 	Fields []string `json:"fields"`
 }
 
 func (l loadReports) apply(s *balancer.Settings) error {
-	source, err := lookupOptional(loadReportSources, "report.how", l.How)
+	source, err := lookupOptional(loadReportSources, "report.how", l.Source)
 	s.LoadReportSource = source
 	s.LoadReportFields = l.Fields
 	return err
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -5,29 +5,29 @@
 // rules is the section "invariants": what a node must keep to, and how endpoints
 // behave while they drain and after they start.
 type rules struct {
-	AnswerSlack int64 `json:"answer_slack_ns"`
-	AskWithin   int64 `json:"ask_within_ns"`
+	ResponseSlack int64 `json:"answer_slack_ns"`
+	PollInterval  int64 `json:"ask_within_ns"`
 
-	DrainGrace int64 `json:"drain_grace_ns"`
-	DrainClose int64 `json:"drain_close_ns"`
+	DrainGrace        int64 `json:"drain_grace_ns"`
+	DrainCloseTimeout int64 `json:"drain_close_ns"`
 
-	ColdFrom float64 `json:"cold_from"`
-	Cold     int64   `json:"cold_ns"`
+	SlowStartCapacity float64 `json:"cold_from"`
+	SlowStartDuration int64   `json:"cold_ns"`
 
-	OverloadFactor float64 `json:"overload_factor"`
-	TipAfter       int64   `json:"tip_after_ns"`
+	OverloadFactor   float64 `json:"overload_factor"`
+	OverloadDuration int64   `json:"tip_after_ns"`
 }
 
 func (r *rules) apply(s *balancer.Settings) {
-	s.ResponseSlack = nanoseconds(r.AnswerSlack)
-	s.PollInterval = nanoseconds(r.AskWithin)
+	s.ResponseSlack = nanoseconds(r.ResponseSlack)
+	s.PollInterval = nanoseconds(r.PollInterval)
 
 	s.DrainGrace = nanoseconds(r.DrainGrace)
-	s.DrainCloseTimeout = nanoseconds(r.DrainClose)
+	s.DrainCloseTimeout = nanoseconds(r.DrainCloseTimeout)
 
-	s.SlowStartCapacity = r.ColdFrom
-	s.SlowStartDuration = nanoseconds(r.Cold)
+	s.SlowStartCapacity = r.SlowStartCapacity
+	s.SlowStartDuration = nanoseconds(r.SlowStartDuration)
 
 	s.OverloadFactor = r.OverloadFactor
-	s.OverloadDuration = nanoseconds(r.TipAfter)
+	s.OverloadDuration = nanoseconds(r.OverloadDuration)
 }
--- a/internal/settings/score.go
+++ b/internal/settings/score.go
@@ -4,17 +4,17 @@
 
 // costs is the section "charges": points off the operators' result for each unit.
 type costs struct {
-	Connection float64 `json:"connection"`
-	Handshake  float64 `json:"handshake"`
-	CrossZone  float64 `json:"cross_zone"`
-	Waste      float64 `json:"waste"`
-	LateFail   float64 `json:"late_fail"`
-	Probe      float64 `json:"probe"`
-	Peer       float64 `json:"peer"`
-	Moves      float64 `json:"moves"`
-	Origin     float64 `json:"origin"`
-	Membership float64 `json:"membership_mode"`
-	Fleet      float64 `json:"fleet"`
+	Connection     float64 `json:"connection"`
+	Handshake      float64 `json:"handshake"`
+	CrossZone      float64 `json:"cross_zone"`
+	Waste          float64 `json:"waste"`
+	LateFailure    float64 `json:"late_fail"`
+	HealthCheck    float64 `json:"probe"`
+	Gossip         float64 `json:"peer"`
+	Migration      float64 `json:"moves"`
+	Origin         float64 `json:"origin"`
+	EndpointUpdate float64 `json:"membership_mode"`
+	Fleet          float64 `json:"fleet"`
 }
 
 func (c *costs) apply(s *balancer.Settings) {
@@ -23,12 +23,12 @@
 		Handshake:      c.Handshake,
 		CrossZone:      c.CrossZone,
 		Waste:          c.Waste,
-		LateFailure:    c.LateFail,
-		HealthCheck:    c.Probe,
-		Gossip:         c.Peer,
-		Migration:      c.Moves,
+		LateFailure:    c.LateFailure,
+		HealthCheck:    c.HealthCheck,
+		Gossip:         c.Gossip,
+		Migration:      c.Migration,
 		Origin:         c.Origin,
-		EndpointUpdate: c.Membership,
+		EndpointUpdate: c.EndpointUpdate,
 		Fleet:          c.Fleet,
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -2,9 +2,10 @@
 // settings. The simulator and a node's configuration file hold the object in
 // the same form. The operators' words stay within this package.
 //
-// The object has sections. Each section has a type whose fields follow its JSON
-// and whose apply method fills in the balancer's settings. Keys that no section
-// knows are ignored, and an absent key leaves its setting at zero.
+// The object has sections. Each section has a type whose fields are named as in
+// balancer.Settings and tagged with the operators' keys, and whose apply method
+// fills in the balancer's settings. Keys that no section knows are ignored, and
+// an absent key leaves its setting at zero.
 package settings
 
 import (
@@ -17,19 +18,19 @@
 
 // object is the whole settings object.
 type object struct {
-	Balancers    int      `json:"balancers"`
-	Slot         int      `json:"slot_no"`
-	Zone         string   `json:"zone"`
-	Zones        []string `json:"failure_domains"`
-	MachineTypes []string `json:"kinds"`
-	Tick         int64    `json:"tick_ns"`
+	Nodes            int      `json:"balancers"`
+	NodeIndex        int      `json:"slot_no"`
+	Zone             string   `json:"zone"`
+	Zones            []string `json:"failure_domains"`
+	MachineTypes     []string `json:"kinds"`
+	MinEventInterval int64    `json:"tick_ns"`
 
-	Family string   `json:"family"`
-	Tier   int      `json:"tier"`
-	Tiers  []string `json:"tiers"`
+	ServiceFamily string   `json:"family"`
+	Tier          int      `json:"tier"`
+	Tiers         []string `json:"tiers"`
 
 	Classes         []class  `json:"classes"`
-	WorthBy         string   `json:"worth_by"`
+	PriorityBasis   string   `json:"worth_by"`
 	Tenants         []tenant `json:"accounts"`
 	OverQuotaWeight float64  `json:"over_share_worth"`
 
@@ -38,9 +39,9 @@
 	Clients   clients   `json:"client_habits"`
 	Endpoints endpoints `json:"specifics"`
 
-	MembershipMode string      `json:"membership_mode"`
-	WeightKind     string      `json:"weight_kind"`
-	LoadReports    loadReports `json:"report"`
+	UpdateMode  string      `json:"membership_mode"`
+	WeightKind  string      `json:"weight_kind"`
+	LoadReports loadReports `json:"report"`
 
 	Costs costs `json:"charges"`
 	Goal  goal  `json:"goal"`
@@ -66,7 +67,7 @@
 // apply stops at the first value that is not allowed.
 func (o *object) apply(s *balancer.Settings) error {
 	o.applyPlace(s)
-	if err := applyMembershipMode(o.MembershipMode, s); err != nil {
+	if err := applyUpdateMode(o.UpdateMode, s); err != nil {
 		return err
 	}
 	if err := o.LoadReports.apply(s); err != nil {
@@ -75,7 +76,7 @@
 	if err := applyWeightKind(o.WeightKind, s); err != nil {
 		return err
 	}
-	if err := applyWorthBy(o.WorthBy, s); err != nil {
+	if err := applyPriorityBasis(o.PriorityBasis, s); err != nil {
 		return err
 	}
 	if err := applyClasses(o.Classes, s); err != nil {
@@ -94,13 +95,13 @@
 
 // applyPlace sets where the node stands: among the nodes, the zones and the tiers.
 func (o *object) applyPlace(s *balancer.Settings) {
-	s.Nodes = o.Balancers
-	s.NodeIndex = o.Slot
+	s.Nodes = o.Nodes
+	s.NodeIndex = o.NodeIndex
 	s.Zone = o.Zone
 	s.Zones = o.Zones
 	s.MachineTypes = o.MachineTypes
-	s.MinEventInterval = nanoseconds(o.Tick)
-	s.ServiceFamily = o.Family
+	s.MinEventInterval = nanoseconds(o.MinEventInterval)
+	s.ServiceFamily = o.ServiceFamily
 	s.Tier = o.Tier
 	s.Tiers = o.Tiers
 }
--- a/internal/settings/tenants.go
+++ b/internal/settings/tenants.go
@@ -4,13 +4,13 @@
 
 // tenant is an element of the section "accounts".
 type tenant struct {
-	Name     string  `json:"name"`
-	Quota    float64 `json:"quota_per_s"` // requests per second
-	Fraction float64 `json:"fraction"`
+	Name          string  `json:"name"`
+	Quota         float64 `json:"quota_per_s"` // requests per second
+	QuotaFraction float64 `json:"fraction"`
 }
 
 func applyTenants(tenants []tenant, s *balancer.Settings) {
 	for _, t := range tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota, QuotaFraction: t.Fraction})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota, QuotaFraction: t.QuotaFraction})
 	}
 }
