--- a/internal/lab/hollow/client.go
+++ b/internal/lab/hollow/client.go
@@ -73,7 +73,7 @@
 		tenant = m.tenants[t]
 	}
 	r := &request{id: balancer.RequestID(strconv.Itoa(c.arrival.Number) + "." + strconv.Itoa(c.tries)), client: c, class: c.class,
-		limit: c.deadline, deadline: c.deadline - node.AnswerMargin}
+		limit: c.deadline, deadline: c.deadline - node.ResponseMargin}
 	if r.deadline <= m.now {
 		c.ended(failed, 0)
 		return
@@ -114,7 +114,7 @@
 		if wait <= 0 || !m.s.Fleet.RetryAfter {
 			wait = time.Duration(float64(m.s.Traffic.Backoff) * (0.5 + m.rng.Float64()))
 		}
-		if m.now+wait+node.AnswerMargin < c.deadline {
+		if m.now+wait+node.ResponseMargin < c.deadline {
 			m.at(m.now+wait, c.try)
 			return
 		}
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -169,7 +169,7 @@
 	}
 	e.Timeout = r.deadline - m.now
 	n.requests[r.id] = r
-	n.guard(r, r.deadline+node.GuardDelay)
+	n.guard(r, r.deadline+node.WatchdogDelay)
 	n.handle(e)
 }
 
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -30,7 +30,7 @@
 }
 
 // answering is a server that answers each request and tells of it.
-func answering(t *testing.T) (address string, requests chan *http.Request) {
+func okServer(t *testing.T) (address string, requests chan *http.Request) {
 	requests = make(chan *http.Request, 1000)
 	return backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
@@ -39,26 +39,26 @@
 				return
 			}
 			requests <- req
-			io.WriteString(c, okAnswer)
+			io.WriteString(c, okResponse)
 		}
 	}), requests
 }
 
 // order asks for what must not run twice: its attempt is not given up for another one, however slow the machine is.
-func (c raw) order(t *testing.T, id, deadline string) {
+func (c testClient) sendPost(t *testing.T, id, deadline string) {
 	t.Helper()
-	if _, err := io.WriteString(c, orderText(id, deadline)); err != nil {
+	if _, err := io.WriteString(c, postText(id, deadline)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func orderText(id, deadline string) string {
+func postText(id, deadline string) string {
 	return fmt.Sprintf("POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: pagar\r\nX-Deadline: %s\r\nContent-Length: 0\r\n\r\n",
 		id, deadline)
 }
 
 // passingAcceptErrors are those of accept(2) that say nothing of the listener itself.
-var passingAcceptErrors = []syscall.Errno{
+var transientAcceptErrors = []syscall.Errno{
 	syscall.EAGAIN, syscall.EINTR, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EPERM, syscall.EPROTO, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.EADDRNOTAVAIL,
@@ -67,19 +67,19 @@
 // TestAcceptFailsForAMoment: Accept fails nine times in a row. The node goes on, and the client behind the failures is
 // answered within its time.
 func TestAcceptFailsForAMoment(t *testing.T) {
-	server, _ := answering(t)
-	for _, errno := range passingAcceptErrors {
+	server, _ := okServer(t)
+	for _, errno := range transientAcceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			var failures atomic.Int32
-			n := startNodeOn(t, faultyListener{listen(t), func() error {
+			n := startNodeOn(t, faultyListener{newListener(t), func() error {
 				if failures.Add(-1) >= 0 {
 					return errno
 				}
 				return nil
 			}}, func(*Config) {}, server)
 			first := n.dial(t)
-			first.order(t, "first", "20")
+			first.sendPost(t, "first", "20")
 			if s := first.status(t); s != http.StatusOK {
 				t.Fatalf("answer %d ahead of the failures", s)
 			}
@@ -87,7 +87,7 @@
 			n.dial(t)
 			c := n.dial(t)
 			asked := time.Now()
-			c.order(t, "q", "0.8")
+			c.sendPost(t, "q", "0.8")
 			if s := c.status(t); s != http.StatusOK || time.Since(asked) > 800*time.Millisecond {
 				t.Errorf("answer %d after %v, want 200 within 0.8 s", s, time.Since(asked))
 			}
@@ -107,9 +107,9 @@
 	for _, patience := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
 		t.Run(patience.String(), func(t *testing.T) {
 			t.Parallel()
-			server, requests := answering(t)
+			server, requests := okServer(t)
 			var failing atomic.Bool
-			n := startNodeOn(t, faultyListener{listen(t), func() error {
+			n := startNodeOn(t, faultyListener{newListener(t), func() error {
 				if failing.Load() {
 					return syscall.ENFILE
 				}
@@ -117,10 +117,10 @@
 			}}, func(*Config) {}, server)
 			failing.Store(true)
 			n.dial(t) // taken by the Accept that is under way
-			held()
+			delayVisibly()
 			c := n.dial(t)
 			asked := time.Now()
-			c.order(t, "q", strconv.FormatFloat(patience.Seconds(), 'f', 3, 64))
+			c.sendPost(t, "q", strconv.FormatFloat(patience.Seconds(), 'f', 3, 64))
 			time.Sleep(600 * time.Millisecond)
 			left := patience - time.Since(asked)
 			failing.Store(false)
@@ -131,7 +131,7 @@
 				}
 				return
 			}
-			if d := told(t, wait(t, requests, "the request")); d > left+slack {
+			if d := deadlineOf(t, receive(t, requests, "the request")); d > left+slack {
 				t.Errorf("told %v, and at most %v was left", d, left)
 			}
 			if status != http.StatusOK {
@@ -147,8 +147,8 @@
 	for _, longest := range []time.Duration{100 * time.Millisecond, time.Second, 10 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
 			t.Parallel()
-			server, _ := answering(t)
-			inner := listen(t)
+			server, _ := okServer(t)
+			inner := newListener(t)
 			var stopped atomic.Pointer[time.Time]
 			ln := faultyListener{inner, func() error {
 				if at := stopped.Load(); at != nil {
@@ -158,21 +158,21 @@
 				}
 				return nil
 			}}
-			cfg := testConfig(refusing(t))
+			cfg := testConfig(refusingAddress(t))
 			for i := range cfg.Settings.Classes {
 				cfg.Settings.Classes[i].Deadline = longest
 			}
-			n := startOrdered(t, cfg, ln, server)
+			n := startNodeWithPhases(t, cfg, ln, server)
 			at := time.Now()
 			stopped.Store(&at)
 			n.stop()
 			time.Sleep(385 * time.Millisecond)
 			n.dial(t) // taken by the Accept that is under way; the next one is held up
 			time.Sleep(5 * time.Millisecond)
-			var clients []raw
+			var clients []testClient
 			for i := range 3 {
 				c := n.dial(t)
-				c.order(t, fmt.Sprint("q", i), strconv.FormatFloat(longest.Seconds(), 'f', 3, 64))
+				c.sendPost(t, fmt.Sprint("q", i), strconv.FormatFloat(longest.Seconds(), 'f', 3, 64))
 				clients = append(clients, c)
 			}
 			for i, c := range clients {
@@ -180,7 +180,7 @@
 					t.Errorf("client %d is answered %d", i, s)
 				}
 			}
-			if err := wait(t, n.ended, "the node's end"); err != nil {
+			if err := receive(t, n.ended, "the node's end"); err != nil {
 				t.Errorf("the node ends with %v", err)
 			}
 			if took, kill := time.Since(at), min(longest, 3*time.Second)+700*time.Millisecond; took >= kill {
@@ -191,16 +191,16 @@
 }
 
 // startOrdered starts a node that ends in the stages of its own settings; its list names one server.
-func startOrdered(t *testing.T, cfg Config, ln net.Listener, server string) *running {
+func startNodeWithPhases(t *testing.T, cfg Config, ln net.Listener, server string) *testNode {
 	t.Helper()
-	cfg.Known.Endpoints = []json.RawMessage{json.RawMessage(entryJSON("s-0", server, "ready"))}
+	cfg.Known.Endpoints = []json.RawMessage{json.RawMessage(endpointJSON("s-0", server, "ready"))}
 	ctx, stop := context.WithCancel(context.Background())
-	n := &running{Node: New(cfg, quiet), address: ln.Addr().String(), stop: stop, ended: make(chan error, 1)}
+	n := &testNode{Node: New(cfg, discardLog), address: ln.Addr().String(), stop: stop, ended: make(chan error, 1)}
 	go func() { n.ended <- n.Run(ctx, ln) }()
 	t.Cleanup(func() {
 		stop()
-		<-n.Node.ended
+		<-n.Node.loopEnded
 	})
-	await(t, "the node to be ready", n.front.ready.Load)
+	waitUntil(t, "the node to be ready", n.frontend.ready.Load)
 	return n
 }
--- a/internal/node/backend_test.go
+++ b/internal/node/backend_test.go
@@ -18,7 +18,7 @@
 )
 
 // enough bounds what a test waits for; a passing one takes far less.
-const enough = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 // backendServer runs a server on a loopback port: script gets each connection and its number.
 func backendServer(t *testing.T, script func(number int, c net.Conn, r *bufio.Reader)) string {
@@ -34,7 +34,7 @@
 			if err != nil {
 				return
 			}
-			c.SetDeadline(time.Now().Add(3 * enough)) // a test that waits for the other side fails first
+			c.SetDeadline(time.Now().Add(3 * testTimeout)) // a test that waits for the other side fails first
 			go func() {
 				defer c.Close()
 				script(i, c, bufio.NewReader(c))
@@ -55,7 +55,7 @@
 }
 
 // refusing is an address where nothing listens.
-func refusing(t *testing.T) string {
+func refusingAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,10 +65,10 @@
 	return ln.Addr().String()
 }
 
-const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: inflight=7,queue=2\r\n\r\nhi"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: inflight=7,queue=2\r\n\r\nhi"
 
 // listening is a server that tells what comes on its connections: a request's id, or "" for an end.
-func listening(t *testing.T) (address string, got chan string) {
+func recordingServer(t *testing.T) (address string, got chan string) {
 	got = make(chan string, 10)
 	return backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
@@ -78,7 +78,7 @@
 				return
 			}
 			got <- req.Header.Get("X-Request-Id")
-			io.WriteString(c, okAnswer)
+			io.WriteString(c, okResponse)
 		}
 	}), got
 }
@@ -106,13 +106,13 @@
 	h := &dialHook{}
 	c.Dialer.ControlContext = h.control
 	change(&c)
-	n.backends = upstream.NewPool(c)
+	n.pool = upstream.NewPool(c)
 	return h
 }
 
 // slowDials makes a pool's connections wait: begun gets a value when one
 // begins to come up, and it does not until release has a value or is closed.
-func slowDials(h *dialHook) (begun chan bool, release chan struct{}) {
+func blockDials(h *dialHook) (begun chan bool, release chan struct{}) {
 	begun, release = make(chan bool, 10), make(chan struct{}, 1)
 	h.set(func(ctx context.Context, _ string) error {
 		begun <- true
@@ -131,9 +131,9 @@
 func (h *dialHook) pooled(t *testing.T, n *Node, name string, dialErr error) (address string, outcome balancer.Outcome) {
 	t.Helper()
 	var directory discovery.Directory // gives an endpoint the same number, also when the node's does not list it
-	directory.Apply(discovery.List{Endpoints: []json.RawMessage{json.RawMessage(entryJSON(name, "127.0.0.1:1", "ready"))}}, balancer.FullUpdate)
+	directory.Apply(discovery.List{Endpoints: []json.RawMessage{json.RawMessage(endpointJSON(name, "127.0.0.1:1", "ready"))}}, balancer.FullUpdate)
 	id, known := directory.ID(name)
-	if nodeID, listed := n.servers.ID(name); !known || listed && nodeID != id {
+	if nodeID, listed := n.directory.ID(name); !known || listed && nodeID != id {
 		t.Fatalf("endpoint %s has number %d, and %d in the node", name, id, nodeID)
 	}
 	dialled := make(chan string, 10)
@@ -141,9 +141,9 @@
 		dialled <- to
 		return dialErr
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), enough)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	outcome = n.backends.Attempt(ctx, ctx, id, getRequest("/api/x")).Outcome
+	outcome = n.pool.Attempt(ctx, ctx, id, getRequest("/api/x")).Outcome
 	select {
 	case address = <-dialled:
 	default:
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -19,7 +19,7 @@
 )
 
 // requests writes so many requests as a client would that does not wait for answers.
-func requests(count int) string {
+func pipelinedGets(count int) string {
 	var b strings.Builder
 	for i := range count {
 		fmt.Fprintf(&b, "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: p%d\r\nX-Class: saldo\r\nX-Deadline: 60\r\n\r\n", i)
@@ -30,31 +30,31 @@
 // TestClientLeavesBehindMuch: a client sends more than its open request and
 // goes. That it has left stands behind all that in its socket.
 func TestClientLeavesBehindMuch(t *testing.T) {
-	for name, rest := range map[string]string{"a byte": "G", "as one buffer holds": requests(30), "more than that": requests(100)} {
+	for name, rest := range map[string]string{"a byte": "G", "as one buffer holds": pipelinedGets(30), "more than that": pipelinedGets(100)} {
 		for _, cancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %v", name, cancel), func(t *testing.T) {
-				server, got, _ := silentServer(t)
+				server, got, _ := stallingServer(t)
 				n := startNodeWith(t, func(s *balancer.Settings) { s.CancelAllowed = cancel }, server)
 				c := n.dial(t)
-				c.ask(t, "saldo", "q", "60")
-				wait(t, got, "the attempt")
+				c.sendGet(t, "saldo", "q", "60")
+				receive(t, got, "the attempt")
 				io.WriteString(c, rest)
 				c.Close()
-				for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
+				for until := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 					open := make(chan int, 1)
 					n.post(func() {
 						k := 0
 						for _, r := range n.requests {
-							if !r.done {
+							if !r.answered {
 								k++
 							}
 						}
 						open <- k
 					})
-					if k := wait(t, open, "the loop"); k == 0 && n.front.connections.openConnections() == 0 {
+					if k := receive(t, open, "the loop"); k == 0 && n.frontend.connections.openConnections() == 0 {
 						break
 					} else if time.Now().After(until) {
-						t.Fatalf("%d requests are open, on %d connections", k, n.front.connections.openConnections())
+						t.Fatalf("%d requests are open, on %d connections", k, n.frontend.connections.openConnections())
 					}
 				}
 				if len(got) > 0 {
@@ -67,19 +67,19 @@
 
 // TestSendsOneAtATime: what comes behind an open request is read only so far.
 func TestSendsOneAtATime(t *testing.T) {
-	server, got, gone := silentServer(t)
+	server, got, gone := stallingServer(t)
 	n := startNode(t, server)
 	c := n.dial(t)
-	c.ask(t, "saldo", "q", "60")
-	wait(t, got, "the attempt")
+	c.sendGet(t, "saldo", "q", "60")
+	receive(t, got, "the attempt")
 	go func() {
-		for more := []byte(requests(100)); ; {
+		for more := []byte(pipelinedGets(100)); ; {
 			if _, err := c.Write(more); err != nil {
 				return
 			}
 		}
 	}()
-	wait(t, gone, "the attempt's end")
+	receive(t, gone, "the attempt's end")
 	if _, err := io.Copy(io.Discard, c.read); isTimeout(err) {
 		t.Error("the connection stays open")
 	}
@@ -93,14 +93,14 @@
 		for readRequest(r) != nil {
 			got <- true
 			<-release
-			io.WriteString(c, okAnswer)
+			io.WriteString(c, okResponse)
 		}
 	}))
 	c := n.dial(t)
-	c.ask(t, "saldo", "q", "60")
-	wait(t, got, "the attempt")
-	io.WriteString(c, requests(1)[:9])
-	io.WriteString(c, requests(20)[9:])
+	c.sendGet(t, "saldo", "q", "60")
+	receive(t, got, "the attempt")
+	io.WriteString(c, pipelinedGets(1)[:9])
+	io.WriteString(c, pipelinedGets(20)[9:])
 	close(release)
 	for i := range 21 {
 		if s := c.status(t); s != 200 {
@@ -112,12 +112,12 @@
 // TestManyAtOnce: a client sends hundreds of requests at once, and waits for all their answers.
 func TestManyAtOnce(t *testing.T) {
 	const count = 500 // some 45 KiB
-	server, _ := answering(t)
+	server, _ := okServer(t)
 	n := startNode(t, server)
 	c := n.dial(t)
 	var text strings.Builder
 	for i := range count {
-		text.WriteString(orderText(fmt.Sprint("q", i), "20"))
+		text.WriteString(postText(fmt.Sprint("q", i), "20"))
 	}
 	go io.WriteString(c, text.String())
 	for i := range count {
@@ -130,19 +130,19 @@
 		}
 	}
 	c.Close()
-	ahead := &n.front.connections.readAheadBytes
-	await(t, "what is read ahead to be given back", func() bool { return ahead.Load() == 0 })
+	ahead := &n.frontend.connections.readAheadBytes
+	waitUntil(t, "what is read ahead to be given back", func() bool { return ahead.Load() == 0 })
 	early := n.dial(t)
 	io.WriteString(early, text.String()) // its ids are free again
 	early.Close()
-	await(t, "the connection to end", func() bool { return n.front.connections.openConnections() == 0 })
+	waitUntil(t, "the connection to end", func() bool { return n.frontend.connections.openConnections() == 0 })
 	if left := ahead.Load(); left != 0 {
 		t.Errorf("%d bytes stay counted as read ahead", left)
 	}
 }
 
 // connPair is a node's end and a client's end of one connection.
-func connPair(t *testing.T) (*clientConn, net.Conn) {
+func connectionPair(t *testing.T) (*clientConn, net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -153,13 +153,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newConnectionLimiter(ln, 10, quiet)
+	l := newConnectionLimiter(ln, 10, discardLog)
 	c, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close(); client.Close() })
-	c.SetReadDeadline(time.Now().Add(enough))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	return c.(*clientConn), client
 }
 
@@ -168,9 +168,9 @@
 func TestRetireSparesARequest(t *testing.T) {
 	buffer := make([]byte, 100)
 	t.Run("unread", func(t *testing.T) {
-		c, client := connPair(t)
+		c, client := connectionPair(t)
 		io.WriteString(client, "GET")
-		for until := time.Now().Add(enough); sockets.Quiet(c.Conn) && time.Now().Before(until); {
+		for until := time.Now().Add(testTimeout); sockets.Quiet(c.Conn) && time.Now().Before(until); {
 			time.Sleep(time.Millisecond)
 		}
 		if c.drain() {
@@ -181,7 +181,7 @@
 		}
 	})
 	t.Run("begun", func(t *testing.T) {
-		c, client := connPair(t)
+		c, client := connectionPair(t)
 		io.WriteString(client, "GET")
 		if n, err := c.Read(buffer); n != 3 || err != nil {
 			t.Fatalf("reads %d bytes, %v", n, err)
@@ -191,8 +191,8 @@
 		}
 	})
 	t.Run("crossing", func(t *testing.T) {
-		c, client := connPair(t)
-		c.Conn = crossing{c.Conn.(*net.TCPConn), sync.OnceFunc(func() {
+		c, client := connectionPair(t)
+		c.Conn = interruptedConn{c.Conn.(*net.TCPConn), sync.OnceFunc(func() {
 			if !c.drain() {
 				t.Error("not retired though nothing has come")
 			}
@@ -207,7 +207,7 @@
 		}
 	})
 	t.Run("at rest", func(t *testing.T) {
-		c, client := connPair(t)
+		c, client := connectionPair(t)
 		ended := make(chan error, 1)
 		go func() {
 			_, err := c.Read(buffer)
@@ -216,10 +216,10 @@
 		if !c.drain() {
 			t.Error("not retired")
 		}
-		if err := wait(t, ended, "the reader"); !errors.Is(err, os.ErrDeadlineExceeded) {
+		if err := receive(t, ended, "the reader"); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("the reader gets %v", err)
 		}
-		c.SetReadDeadline(time.Now().Add(enough)) // as net/http does before each request
+		c.SetReadDeadline(time.Now().Add(testTimeout)) // as net/http does before each request
 		io.WriteString(client, "GET")
 		if n, err := c.Read(buffer); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("reads %d bytes, %v from a retired connection", n, err)
@@ -228,14 +228,14 @@
 }
 
 // crossing is a connection on which something happens between a read's call and its bytes.
-type crossing struct {
+type interruptedConn struct {
 	*net.TCPConn
-	happens func()
+	beforeRead func()
 }
 
-func (c crossing) Read(b []byte) (int, error) {
-	c.happens()
-	c.TCPConn.SetReadDeadline(time.Now().Add(enough)) // the bytes came before the deadline did
+func (c interruptedConn) Read(b []byte) (int, error) {
+	c.beforeRead()
+	c.TCPConn.SetReadDeadline(time.Now().Add(testTimeout)) // the bytes came before the deadline did
 	return c.TCPConn.Read(b)
 }
 
@@ -244,22 +244,22 @@
 func TestEndSparesHalfARequest(t *testing.T) {
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
-			io.WriteString(c, okAnswer)
+			io.WriteString(c, okResponse)
 		}
 	}))
 	half, idle := n.dial(t), n.dial(t)
-	for i, c := range []raw{half, idle} {
-		c.ask(t, "saldo", fmt.Sprint("first", i), "60")
+	for i, c := range []testClient{half, idle} {
+		c.sendGet(t, "saldo", fmt.Sprint("first", i), "60")
 		if s := c.status(t); s != 200 {
 			t.Fatalf("answer %d", s)
 		}
 	}
-	text := requests(1)
+	text := pipelinedGets(1)
 	io.WriteString(half, text[:20])
 	heard := func(c net.Conn) bool {
-		n.front.connections.mu.Lock()
-		defer n.front.connections.mu.Unlock()
-		for lc := range n.front.connections.idle {
+		n.frontend.connections.mu.Lock()
+		defer n.frontend.connections.mu.Unlock()
+		for lc := range n.frontend.connections.idle {
 			if lc.RemoteAddr().String() == c.LocalAddr().String() {
 				lc.mu.Lock()
 				defer lc.mu.Unlock()
@@ -268,13 +268,13 @@
 		}
 		return false
 	}
-	for until := time.Now().Add(enough); !heard(half); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(testTimeout); !heard(half); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("the half request is not read")
 		}
 	}
 	n.stop()
-	n.linger()
+	n.endServingPhase()
 	if _, err := idle.read.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection: %v, want its end", err)
 	}
@@ -288,7 +288,7 @@
 	if resp.StatusCode != 200 || body.String() != "hi" || !resp.Close {
 		t.Errorf("answer %d %q, close %v", resp.StatusCode, &body, resp.Close)
 	}
-	if err := wait(t, n.ended, "the node's end"); err != nil {
+	if err := receive(t, n.ended, "the node's end"); err != nil {
 		t.Errorf("the node ends with %v", err)
 	}
 }
@@ -298,7 +298,7 @@
 // breach, and the client has not left.
 func TestNextRequestMayBeLong(t *testing.T) {
 	for _, open := range []bool{false, true} {
-		c, client := connPair(t)
+		c, client := connectionPair(t)
 		gone := make(chan bool, 1)
 		c.cancelRequests = func() { gone <- true }
 		c.setRequestOpen(open)
@@ -308,7 +308,7 @@
 			t.Fatalf("reads %d bytes, %v", n, err)
 		}
 		if open {
-			wait(t, gone, "the end of a client that does not wait for its answer")
+			receive(t, gone, "the end of a client that does not wait for its answer")
 			continue
 		}
 		paused := func() bool {
@@ -316,7 +316,7 @@
 			defer c.mu.Unlock()
 			return !c.readingAhead && len(c.readAhead) > maxReadAhead
 		}
-		for until := time.Now().Add(enough); !paused() && time.Now().Before(until); {
+		for until := time.Now().Add(testTimeout); !paused() && time.Now().Before(until); {
 			time.Sleep(time.Millisecond) // until as much has been read ahead as may be
 		}
 		if _, err := io.ReadFull(c, make([]byte, len(long)-1)); err != nil {
--- a/internal/node/closing_test.go
+++ b/internal/node/closing_test.go
@@ -33,26 +33,26 @@
 				for readRequest(r) != nil {
 					got <- true
 					<-release
-					io.WriteString(c, okAnswer)
+					io.WriteString(c, okResponse)
 				}
 			}))
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			l := newConnectionLimiter(ln, 1, quiet)
+			l := newConnectionLimiter(ln, 1, discardLog)
 			given := sync.OnceFunc(func() { give(l) })
-			srv := &http.Server{Handler: n.front, ConnContext: l.connContext, IdleTimeout: idleTimeout, ConnState: func(c net.Conn, s http.ConnState) {
+			srv := &http.Server{Handler: n.frontend, ConnContext: l.connContext, IdleTimeout: idleTimeout, ConnState: func(c net.Conn, s http.ConnState) {
 				if l.trackState(c, s); s == http.StateIdle {
 					given()
 				}
 			}}
 			go srv.Serve(l)
 			defer srv.Close()
-			c := (&running{address: ln.Addr().String()}).dial(t)
-			io.WriteString(c, requests(2))
+			c := (&testNode{address: ln.Addr().String()}).dial(t)
+			io.WriteString(c, pipelinedGets(2))
 			for i := range 2 {
-				wait(t, got, "a request")
+				receive(t, got, "a request")
 				if open := l.openConnections(); open != 1 {
 					t.Errorf("%d connections count, want 1", open)
 				}
@@ -79,7 +79,7 @@
 			mu.Lock()
 			ran[req.Header.Get("X-Request-Id")] = true
 			mu.Unlock()
-			io.WriteString(c, okAnswer)
+			io.WriteString(c, okResponse)
 		}
 	}))
 	var clients, served sync.WaitGroup
@@ -97,7 +97,7 @@
 					open = []string{fmt.Sprintf("%d-%d", i, k), fmt.Sprintf("%d-%d-next", i, k)}[:1+i%2]
 					var text string
 					for _, id := range open {
-						text += strings.Replace(requests(1), "p0", id, 1)
+						text += strings.Replace(pipelinedGets(1), "p0", id, 1)
 					}
 					io.WriteString(c, text)
 				}
@@ -120,8 +120,8 @@
 	}
 	served.Wait()
 	n.stop()
-	n.linger()
-	if err := wait(t, n.ended, "the node's end"); err != nil {
+	n.endServingPhase()
+	if err := receive(t, n.ended, "the node's end"); err != nil {
 		t.Errorf("the node ends with %v", err)
 	}
 	clients.Wait()
@@ -135,20 +135,20 @@
 // TestUnsentIsRefusedAtTheEnd: a request whose connection is still coming up
 // when the node has to answer all has not been sent, so its client may try again.
 func TestUnsentIsRefusedAtTheEnd(t *testing.T) {
-	address, got := listening(t)
+	address, got := recordingServer(t)
 	n := startNode(t, address)
-	n.front.phases.answered = 0
-	begun, release := slowDials(n.dials)
-	answers := make(chan reply, 1)
-	go func() { answers <- do(t, n.request(t, "POST", "pagar", "q", "600", strings.NewReader("x"))) }()
-	wait(t, begun, "the connection to begin")
+	n.frontend.phases.answered = 0
+	begun, release := blockDials(n.dials)
+	answers := make(chan clientResponse, 1)
+	go func() { answers <- sendRequest(t, n.request(t, "POST", "pagar", "q", "600", strings.NewReader("x"))) }()
+	receive(t, begun, "the connection to begin")
 	n.stop()
-	if a := wait(t, answers, "an answer"); a.status != http.StatusServiceUnavailable {
+	if a := receive(t, answers, "an answer"); a.status != http.StatusServiceUnavailable {
 		t.Errorf("answer %d, want 503", a.status)
 	}
 	close(release)
-	n.linger()
-	if err := wait(t, n.ended, "the node's end"); err != nil {
+	n.endServingPhase()
+	if err := receive(t, n.ended, "the node's end"); err != nil {
 		t.Errorf("the node ends with %v", err)
 	}
 	if len(got) > 0 && <-got != "" {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -15,35 +15,68 @@
 	"bankshift/internal/sockets"
 )
 
-// What a node without stated limits may use.
+// Limits of a node whose configuration states none.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	leastSockets    = 64 // below this no node can serve
 )
 
-// Config is what a node is told at its start.
+// How a node's descriptors are divided.
+const (
+	minSockets      = 64  // with fewer no node can serve
+	reservedSockets = 48  // for discovery, the listener and the runtime
+	clientShare     = 0.5 // of the others; the rest is for endpoints
+)
+
+const (
+	maxReadAttempts   = 20 // of a file, while this machine is short of descriptors or memory
+	readRetryInterval = 50 * time.Millisecond
+)
+
+// ErrNoSettings reports a configuration without settings.
+var ErrNoSettings = errors.New("settings are missing")
+
+// ConfigError reports a key of the configuration with an invalid value.
+type ConfigError struct {
+	Key   string // such as "limits.sockets"
+	Value string // the value found, empty if there is none
+	Want  string
+	Err   error // the cause, nil if there is none
+}
+
+func (e *ConfigError) Error() string {
+	message := fmt.Sprintf("%s is %q, want %s", e.Key, e.Value, e.Want)
+	if e.Err != nil {
+		message += ": " + e.Err.Error()
+	}
+	return message
+}
+
+func (e *ConfigError) Unwrap() error { return e.Err }
+
+// Config is a node's configuration.
 type Config struct {
 	Name      string
-	Listen    string // where clients connect
-	Discovery string // where the list of servers comes from
+	Listen    string // address for clients
+	Discovery string // address of the endpoint list's source
 	Seed      int64
 	MemoryMB  int
 	Sockets   int // file descriptors
 	Settings  balancer.Settings
-	Known     discovery.List // the servers as the node last had them
+	Known     discovery.List // the endpoints as last known
 }
 
-// Connections tells how many connections a node holds at most: of clients and
-// to servers.
-func (c Config) Connections() (clients, backends int) {
-	clients = int(clientPart * float64(c.Sockets-spareSockets))
-	return clients, c.Sockets - spareSockets - clients
+// Connections returns the maximum numbers of connections from clients and to
+// endpoints.
+func (c Config) Connections() (clients, endpoints int) {
+	available := c.Sockets - reservedSockets
+	clients = int(clientShare * float64(available))
+	return clients, available - clients
 }
 
 // LoadConfig reads the configuration file at path.
 func LoadConfig(path string) (Config, error) {
-	raw, err := readPatiently(func() ([]byte, error) { return os.ReadFile(path) })
+	raw, err := readRetrying(func() ([]byte, error) { return os.ReadFile(path) })
 	if err != nil {
 		return Config{}, fmt.Errorf("config: %w", err)
 	}
@@ -54,68 +87,99 @@
 	return c, nil
 }
 
-const (
-	readTries = 20                    // at a file, while this machine is short of descriptors or memory
-	readWait  = 50 * time.Millisecond // between them
-)
-
-// readPatiently outlasts a want of this machine.
-func readPatiently(read func() ([]byte, error)) ([]byte, error) {
-	for tries := 1; ; tries++ {
+// readRetrying calls read until it returns no error or one that is not a passing
+// shortage of this machine.
+func readRetrying(read func() ([]byte, error)) ([]byte, error) {
+	for attempt := 1; ; attempt++ {
 		raw, err := read()
-		if err == nil || tries == readTries || !sockets.LocalFailure(err) {
+		if err == nil || attempt == maxReadAttempts || !sockets.LocalFailure(err) {
 			return raw, err
 		}
-		time.Sleep(readWait)
+		time.Sleep(readRetryInterval)
 	}
 }
 
-// ParseConfig reads a configuration, as JSON.
+// configFile is the configuration's JSON.
+type configFile struct {
+	Name      string `json:"name"`
+	Listen    string `json:"listen"`
+	Discovery string `json:"discovery"`
+	Seed      string `json:"seed"` // hexadecimal
+	Limits    struct {
+		MemoryMB int `json:"memory_mb"`
+		Sockets  int `json:"sockets"`
+	} `json:"limits"`
+	Known    discovery.List  `json:"known"`
+	Settings json.RawMessage `json:"settings"`
+}
+
+// ParseConfig parses a configuration. An invalid value is a *ConfigError or a
+// *settings.Error.
 func ParseConfig(raw []byte) (Config, error) {
-	var in struct {
-		Name      string `json:"name"`
-		Listen    string `json:"listen"`
-		Discovery string `json:"discovery"`
-		Seed      string `json:"seed"`
-		Limits    struct {
-			MemoryMB int `json:"memory_mb"`
-			Sockets  int `json:"sockets"`
-		} `json:"limits"`
-		Known    discovery.List  `json:"known"`
-		Settings json.RawMessage `json:"settings"`
+	var file configFile
+	if err := json.Unmarshal(raw, &file); err != nil {
+		return Config{}, err
 	}
-	if err := json.Unmarshal(raw, &in); err != nil {
+	nodeSettings, err := file.parseSettings()
+	if err != nil {
 		return Config{}, err
 	}
-	if in.Settings == nil {
-		return Config{}, errors.New("settings are missing")
+	if err := checkAddress("listen", file.Listen); err != nil {
+		return Config{}, err
 	}
-	balancing, err := settings.Decode(in.Settings)
+	if err := checkAddress("discovery", file.Discovery); err != nil {
+		return Config{}, err
+	}
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return Config{}, fmt.Errorf("settings: %w", err)
+		return Config{}, &ConfigError{Key: "seed", Value: file.Seed, Want: "a hexadecimal number of 64 bits", Err: err}
+	}
+	c := Config{
+		Name:      file.Name,
+		Listen:    file.Listen,
+		Discovery: file.Discovery,
+		Seed:      int64(seed),
+		MemoryMB:  positiveOr(file.Limits.MemoryMB, defaultMemoryMB),
+		Sockets:   positiveOr(file.Limits.Sockets, defaultSockets),
+		Settings:  nodeSettings,
+		Known:     file.Known,
 	}
-	// The protocol on sockets has neither: a request held until a probe is
-	// answered would be held for nothing, and then refused.
-	balancing.HealthChecksAllowed, balancing.GossipAllowed = false, false
-	for _, a := range []struct{ key, value string }{{"listen", in.Listen}, {"discovery", in.Discovery}} {
-		if _, _, err := net.SplitHostPort(a.value); err != nil {
-			return Config{}, fmt.Errorf("%s: %w", a.key, err)
+	if c.Sockets < minSockets {
+		return Config{}, &ConfigError{
+			Key:   "limits.sockets",
+			Value: strconv.Itoa(c.Sockets),
+			Want:  fmt.Sprintf("%d or more", minSockets),
 		}
 	}
-	seed, err := strconv.ParseUint(in.Seed, 16, 64)
-	if err != nil {
-		return Config{}, fmt.Errorf("seed: %w", err)
+	return c, nil
+}
+
+func (f configFile) parseSettings() (balancer.Settings, error) {
+	if f.Settings == nil {
+		return balancer.Settings{}, ErrNoSettings
 	}
-	c := Config{Name: in.Name, Listen: in.Listen, Discovery: in.Discovery, Seed: int64(seed),
-		MemoryMB: in.Limits.MemoryMB, Sockets: in.Limits.Sockets, Settings: balancing, Known: in.Known}
-	if c.MemoryMB <= 0 {
-		c.MemoryMB = defaultMemoryMB
+	s, err := settings.Decode(f.Settings)
+	if err != nil {
+		return balancer.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	if c.Sockets <= 0 {
-		c.Sockets = defaultSockets
+	// The protocol on sockets has neither: a request that waits for a health check
+	// would wait in vain and then be rejected.
+	s.HealthChecksAllowed = false
+	s.GossipAllowed = false
+	return s, nil
+}
+
+func checkAddress(key, address string) error {
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return &ConfigError{Key: key, Value: address, Want: "host:port", Err: err}
 	}
-	if c.Sockets < leastSockets {
-		return Config{}, fmt.Errorf("limits: %d sockets are too few, want %d or more", c.Sockets, leastSockets)
+	return nil
+}
+
+// positiveOr returns value if it is positive, else fallback.
+func positiveOr(value, fallback int) int {
+	if value <= 0 {
+		return fallback
 	}
-	return c, nil
+	return value
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -11,7 +11,7 @@
 	"bankshift/balancer"
 )
 
-const goodConfig = `{"name":"n3","listen":"127.0.0.1:5000","discovery":"127.0.0.1:8500","seed":"fc1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:5000","discovery":"127.0.0.1:8500","seed":"fc1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":100,"sockets":512},"peers":[],
 "known":{"index":41,"snapshot":true,"endpoints":[{"name":"s"}]},
 "settings":{"balancers":5,"slot_no":3,"caps":{"connect_timeout_ns":120000000,"max_attempts":4},
@@ -19,7 +19,7 @@
 
 func TestLoadConfig(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(goodConfig), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	c, err := LoadConfig(path)
@@ -39,23 +39,23 @@
 // TestNoProbesOnSockets: settings written for the simulator may allow what the
 // protocol on sockets does not have. A look would hold each request and refuse it.
 func TestNoProbesOnSockets(t *testing.T) {
-	c, err := ParseConfig([]byte(strings.Replace(goodConfig, `"caps":{`, `"report":{"how":"probe","fields":["active"]},"caps":{"probes":true,"peers":true,`, 1)))
+	c, err := ParseConfig([]byte(strings.Replace(validConfig, `"caps":{`, `"report":{"how":"probe","fields":["active"]},"caps":{"probes":true,"peers":true,`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	address, _ := listening(t)
+	address, _ := recordingServer(t)
 	n := startNodeWith(t, func(s *balancer.Settings) {
 		s.LoadReportSource, s.HealthChecksAllowed, s.GossipAllowed = c.Settings.LoadReportSource, c.Settings.HealthChecksAllowed, c.Settings.GossipAllowed
 	}, address)
-	if a := do(t, n.request(t, "GET", "saldo", "q", "60", nil)); a.status != 200 || c.Settings.LoadReportSource != balancer.LoadReportsByHealthCheck {
+	if a := sendRequest(t, n.request(t, "GET", "saldo", "q", "60", nil)); a.status != 200 || c.Settings.LoadReportSource != balancer.LoadReportsByHealthCheck {
 		t.Errorf("answer %d with reports by %v", a.status, c.Settings.LoadReportSource)
 	}
 }
 
 func TestBadConfig(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
-		{goodConfig, "", "unexpected end"},
-		{goodConfig, "[]", "cannot unmarshal"},
+		{validConfig, "", "unexpected end"},
+		{validConfig, "[]", "cannot unmarshal"},
 		{`"settings"`, `"other"`, "settings are missing"},
 		{`"pushed"`, `"odd"`, "membership_mode"},
 		{`"retryable"`, `"odd"`, "unknown effect"},
@@ -64,7 +64,7 @@
 		{`"fc1f30d27a5be964"`, `"seed"`, "seed"},
 		{`512`, `8`, "sockets"},
 	} {
-		_, err := ParseConfig([]byte(strings.Replace(goodConfig, c.old, c.new, 1)))
+		_, err := ParseConfig([]byte(strings.Replace(validConfig, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s for %s: error %v, want one line with %q", c.new, c.old, err, c.want)
 		}
@@ -78,7 +78,7 @@
 		calls int
 	}{{syscall.ENFILE, 4}, {syscall.EMFILE, 4}, {syscall.ENOENT, 1}} {
 		calls := 0
-		raw, err := readPatiently(func() ([]byte, error) {
+		raw, err := readRetrying(func() ([]byte, error) {
 			if calls++; calls <= 3 {
 				return nil, &os.PathError{Op: "open", Path: "config.json", Err: c.err}
 			}
--- a/internal/node/connlimit_test.go
+++ b/internal/node/connlimit_test.go
@@ -16,16 +16,16 @@
 func TestSilentClientsGiveWay(t *testing.T) {
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
-			io.WriteString(c, okAnswer)
+			io.WriteString(c, okResponse)
 		}
 	}))
-	most := n.front.maxConnections
-	var silent []raw
+	most := n.frontend.maxConnections
+	var silent []testClient
 	for range 2 * most {
 		silent = append(silent, n.dial(t))
 	}
 	// A client that is turned away in the rush comes again and gets its turn.
-	for i, until := 0, time.Now().Add(enough); ; i++ {
+	for i, until := 0, time.Now().Add(testTimeout); ; i++ {
 		c := n.dial(t)
 		fmt.Fprintf(c, "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: q%d\r\nX-Class: saldo\r\nX-Deadline: 60\r\n\r\n", i)
 		if resp, err := http.ReadResponse(c.read, nil); err == nil && resp.StatusCode == 200 {
@@ -49,9 +49,9 @@
 
 // TestHalfRequests: a head or a body that never ends is given up within the 3 s that bad clients are owed an end.
 func TestHalfRequests(t *testing.T) {
-	server, got, _ := silentServer(t)
+	server, got, _ := stallingServer(t)
 	n := startNode(t, server)
-	if firstByteTimeout >= owedWithin || requestReadTimeout >= owedWithin || firstRequestTimeout >= owedWithin || idleTimeout >= owedWithin {
+	if firstByteTimeout >= rejectionLimit || requestReadTimeout >= rejectionLimit || firstRequestTimeout >= rejectionLimit || idleTimeout >= rejectionLimit {
 		t.Errorf("a connection may be silent %v, a request take %v, the first one %v, a connection be idle %v", firstByteTimeout, requestReadTimeout, firstRequestTimeout, idleTimeout)
 	}
 	for name, text := range map[string]string{
@@ -97,7 +97,7 @@
 		{"silent", idleState{since: now.Add(-silenceAllowance)}, true},
 		{"between requests", idleState{since: now, servedBefore: true}, true},
 	} {
-		lc, _ := connPair(t)
+		lc, _ := connectionPair(t)
 		lc.limiter.idle[lc] = c.unused
 		lc.limiter.drain(now)
 		lc.mu.Lock()
@@ -111,11 +111,11 @@
 // TestCrowdShutsNobodyOut: a crowd of idle clients takes all places at once. Requests on connections that come right
 // behind it are answered, each on its first connection.
 func TestCrowdShutsNobodyOut(t *testing.T) {
-	server, _ := answering(t)
-	n := startNodeOn(t, listen(t), func(c *Config) { c.Sockets = 128 }, server)
+	server, _ := okServer(t)
+	n := startNodeOn(t, newListener(t), func(c *Config) { c.Sockets = 128 }, server)
 	for range 3 {
 		var crowd sync.WaitGroup
-		for range 5 * n.front.maxConnections {
+		for range 5 * n.frontend.maxConnections {
 			crowd.Add(1)
 			go func() {
 				defer crowd.Done()
@@ -124,7 +124,7 @@
 					t.Errorf("a client of the crowd: %v", err)
 					return
 				}
-				c.SetReadDeadline(time.Now().Add(enough))
+				c.SetReadDeadline(time.Now().Add(testTimeout))
 				io.Copy(io.Discard, c) // until the node closes it
 				c.Close()
 			}()
@@ -133,7 +133,7 @@
 			for tries := 1; ; tries++ {
 				began := time.Now()
 				c := n.dial(t)
-				c.order(t, fmt.Sprint("q", i), "20")
+				c.sendPost(t, fmt.Sprint("q", i), "20")
 				silent := time.Since(began) // at most: a client that is so for longer than it is spared gives way itself
 				resp, err := http.ReadResponse(c.read, nil)
 				if err == nil && resp.StatusCode == http.StatusOK {
@@ -152,7 +152,7 @@
 // TestFullOfRequests: all places are taken by connections that carry requests. A further client waits for one of them.
 func TestFullOfRequests(t *testing.T) {
 	const places = 4
-	l := newConnectionLimiter(listen(t), places, quiet)
+	l := newConnectionLimiter(newListener(t), places, discardLog)
 	got, release := make(chan bool, 100), make(chan struct{})
 	srv := &http.Server{ConnState: l.trackState, ConnContext: l.connContext, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		got <- true
@@ -161,15 +161,15 @@
 	})}
 	go srv.Serve(l)
 	t.Cleanup(func() { srv.Close() })
-	var clients []raw
+	var clients []testClient
 	for i := range 2 * places {
-		c := (&running{address: l.Addr().String()}).dial(t)
-		c.order(t, fmt.Sprint("q", i), "20")
+		c := (&testNode{address: l.Addr().String()}).dial(t)
+		c.sendPost(t, fmt.Sprint("q", i), "20")
 		if clients = append(clients, c); i < places {
-			wait(t, got, "the request")
+			receive(t, got, "the request")
 		}
 	}
-	held() // the listener finds no place for the others
+	delayVisibly() // the listener finds no place for the others
 	close(release)
 	for i, c := range clients {
 		if resp, err := http.ReadResponse(c.read, nil); err != nil || resp.StatusCode != http.StatusOK {
@@ -182,11 +182,11 @@
 // never empty. What comes then has not waited all along, and is served.
 func TestLastingCrowd(t *testing.T) {
 	const patience = time.Second
-	server, _ := answering(t)
-	n := startNodeOn(t, listen(t), func(c *Config) { c.Sockets = 64 }, server)
+	server, _ := okServer(t)
+	n := startNodeOn(t, newListener(t), func(c *Config) { c.Sockets = 64 }, server)
 	done := make(chan struct{})
 	var crowd sync.WaitGroup
-	for range 16 * n.front.maxConnections {
+	for range 16 * n.frontend.maxConnections {
 		crowd.Add(1)
 		go func() {
 			defer crowd.Done()
@@ -197,7 +197,7 @@
 				default:
 				}
 				if c, err := net.Dial("tcp", n.address); err == nil {
-					c.SetReadDeadline(time.Now().Add(enough))
+					c.SetReadDeadline(time.Now().Add(testTimeout))
 					io.Copy(io.Discard, c) // until the node closes it
 					c.Close()
 				}
@@ -208,14 +208,14 @@
 	served := 0
 	for i := range 10 {
 		c := n.dial(t)
-		c.order(t, fmt.Sprint("q", i), fmt.Sprint(patience.Seconds()))
+		c.sendPost(t, fmt.Sprint("q", i), fmt.Sprint(patience.Seconds()))
 		if resp, err := http.ReadResponse(c.read, nil); err == nil && resp.StatusCode == http.StatusOK {
 			served++
 		}
 	}
 	close(done)
 	n.stop()
-	n.linger()
+	n.endServingPhase()
 	crowd.Wait()
 	if served < 9 {
 		t.Errorf("%d of 10 requests are served", served)
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -19,29 +19,29 @@
 	"bankshift/internal/upstream"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-func entryJSON(name, address, status string) string {
+func endpointJSON(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m2","group":3,"status":%q,"weight":1.5,"since_ms":7}`, name, address, status)
 }
 
 func TestSinceOnTheModulesClock(t *testing.T) {
-	n := New(testConfig("127.0.0.1:1"), quiet)
+	n := New(testConfig("127.0.0.1:1"), discardLog)
 	before := time.Now().UnixMilli()
-	if now := n.now(); now < time.Duration(before)*time.Millisecond || now > time.Duration(before)*time.Millisecond+enough {
+	if now := n.now(); now < time.Duration(before)*time.Millisecond || now > time.Duration(before)*time.Millisecond+testTimeout {
 		t.Errorf("the module's clock reads %v at Unix time %d ms", now, before)
 	}
 }
 
 func TestFollowSetsAddresses(t *testing.T) {
-	n := New(testConfig("127.0.0.1:1"), quiet)
+	n := New(testConfig("127.0.0.1:1"), discardLog)
 	dials := hookDials(n, func(*upstream.Config) {})
 	apply := func(kind balancer.UpdateKind, entries ...string) {
 		l := discovery.List{Version: 1, Snapshot: kind != balancer.IncrementalUpdate}
 		for _, e := range entries {
 			l.Endpoints = append(l.Endpoints, json.RawMessage(e))
 		}
-		n.follow(l, kind)
+		n.applyEndpoints(l, kind)
 	}
 	check := func(when string, want map[string]string) {
 		t.Helper()
@@ -51,24 +51,24 @@
 				pooled[name] = address
 			}
 		}
-		if n.servers.Len() != len(want) || len(pooled) != len(want) {
-			t.Errorf("%s: %d listed, %d in the pool, want %d", when, n.servers.Len(), len(pooled), len(want))
+		if n.directory.Len() != len(want) || len(pooled) != len(want) {
+			t.Errorf("%s: %d listed, %d in the pool, want %d", when, n.directory.Len(), len(pooled), len(want))
 		}
 		for name, address := range want {
-			if _, listed := n.servers.ID(name); !listed || pooled[name] != address {
+			if _, listed := n.directory.ID(name); !listed || pooled[name] != address {
 				t.Errorf("%s: %s is at %q, want %s", when, name, pooled[name], address)
 			}
 		}
-		if n.front.ready.Load() != (len(want) > 0) {
+		if n.frontend.ready.Load() != (len(want) > 0) {
 			t.Errorf("%s: ready is wrong", when)
 		}
 	}
 	check("at the start", nil)
-	apply(balancer.CachedUpdate, entryJSON("a", "127.0.0.1:1", "ready"), entryJSON("b", "127.0.0.1:2", "draining"))
+	apply(balancer.CachedUpdate, endpointJSON("a", "127.0.0.1:1", "ready"), endpointJSON("b", "127.0.0.1:2", "draining"))
 	check("cached", map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:2"})
-	apply(balancer.IncrementalUpdate, entryJSON("a", "127.0.0.1:3", "ready"), entryJSON("b", "", "gone"), entryJSON("c", "", "gone"))
+	apply(balancer.IncrementalUpdate, endpointJSON("a", "127.0.0.1:3", "ready"), endpointJSON("b", "", "gone"), endpointJSON("c", "", "gone"))
 	check("changes", map[string]string{"a": "127.0.0.1:3"})
-	apply(balancer.FullUpdate, entryJSON("d", "127.0.0.1:4", "ready"))
+	apply(balancer.FullUpdate, endpointJSON("d", "127.0.0.1:4", "ready"))
 	check("full", map[string]string{"d": "127.0.0.1:4"})
 	apply(balancer.FullUpdate)
 	check("empty", nil)
@@ -76,7 +76,7 @@
 
 // listServer is a discovery with one list, which it gives to who has another
 // version; watches on it hang. watched gets a value when one begins, gone when it ends.
-func listServer(t *testing.T, index int, entries ...string) (address string, watched, gone chan bool) {
+func discoveryServer(t *testing.T, index int, entries ...string) (address string, watched, gone chan bool) {
 	t.Helper()
 	watched, gone = make(chan bool, 100), make(chan bool, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -93,31 +93,31 @@
 }
 
 // startConfig starts a node that is told cfg, but for where to listen.
-func startConfig(t *testing.T, cfg Config) *running {
+func startNodeFromConfig(t *testing.T, cfg Config) *testNode {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	n := &running{Node: New(cfg, quiet), address: ln.Addr().String(), stop: stop, linger: func() {}, ended: make(chan error, 1)}
-	n.front.keepServing = func(func() int) {}
-	n.front.phases = shutdownPhases{answered: enough, closed: 2 * enough}
+	n := &testNode{Node: New(cfg, discardLog), address: ln.Addr().String(), stop: stop, endServingPhase: func() {}, ended: make(chan error, 1)}
+	n.frontend.keepServing = func(func() int) {}
+	n.frontend.phases = shutdownPhases{answered: testTimeout, closed: 2 * testTimeout}
 	go func() { n.ended <- n.Run(ctx, ln) }()
 	t.Cleanup(func() {
 		stop()
-		<-n.Node.ended
+		<-n.Node.loopEnded
 	})
 	return n
 }
 
 // names waits until the node's list is want.
-func (n *running) names(t *testing.T, want string) {
+func (n *testNode) awaitEndpoints(t *testing.T, want string) {
 	t.Helper()
-	for end := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		got := make(chan string, 1)
-		n.post(func() { got <- fmt.Sprint(n.servers.Names()) })
-		if list := wait(t, got, "the list"); list == want {
+		n.post(func() { got <- fmt.Sprint(n.directory.Names()) })
+		if list := receive(t, got, "the list"); list == want {
 			return
 		} else if time.Now().After(end) {
 			t.Fatalf("the list is %s, want %s", list, want)
@@ -133,7 +133,7 @@
 	hung, broken := make(chan bool, 1), make(chan bool, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("from") == "" {
-			fmt.Fprintf(w, `{"index":7,"snapshot":true,"endpoints":[%s]}`, entryJSON("a", "127.0.0.1:1", "ready"))
+			fmt.Fprintf(w, `{"index":7,"snapshot":true,"endpoints":[%s]}`, endpointJSON("a", "127.0.0.1:1", "ready"))
 			return
 		}
 		select {
@@ -145,18 +145,18 @@
 		case hung <- true:
 			<-r.Context().Done()
 		default: // discovery is back
-			fmt.Fprintf(w, `{"index":8,"snapshot":false,"endpoints":[%s]}`, entryJSON("b", "127.0.0.1:1", "ready"))
+			fmt.Fprintf(w, `{"index":8,"snapshot":false,"endpoints":[%s]}`, endpointJSON("b", "127.0.0.1:1", "ready"))
 		}
 	}))
 	t.Cleanup(s.CloseClientConnections)
 	cfg := testConfig(s.Listener.Addr().String())
 	cfg.Settings.EndpointsOnDemand = true
-	n := startConfig(t, cfg)
-	n.names(t, "[a]")
-	for end := time.Now().Add(enough); len(hung) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	n := startNodeFromConfig(t, cfg)
+	n.awaitEndpoints(t, "[a]")
+	for end := time.Now().Add(testTimeout); len(hung) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	back := time.Now() // the call that hangs has just begun
-	n.names(t, "[a b]")
+	n.awaitEndpoints(t, "[a b]")
 	if took, most := time.Since(back), 6*time.Second-cfg.Settings.DrainGrace; took > most {
 		t.Errorf("known %v after discovery's return, want within %v", took, most)
 	}
@@ -198,19 +198,19 @@
 	address, listen := boundPort(t)
 	cfg := testConfig(address)
 	cfg.Settings.EndpointsOnDemand = true
-	cfg.Known = discovery.List{Version: 3, Endpoints: []json.RawMessage{json.RawMessage(entryJSON("a", "127.0.0.1:1", "ready"))}}
-	n := startConfig(t, cfg)
-	n.names(t, "[a]")
+	cfg.Known = discovery.List{Version: 3, Endpoints: []json.RawMessage{json.RawMessage(endpointJSON("a", "127.0.0.1:1", "ready"))}}
+	n := startNodeFromConfig(t, cfg)
+	n.awaitEndpoints(t, "[a]")
 	time.Sleep(3 * time.Second) // an outage; the test holds for one of any length
 	back := time.Now()
 	go http.Serve(listen(), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("from") == "" {
-			fmt.Fprintf(w, `{"index":7,"snapshot":true,"endpoints":[%s]}`, entryJSON("b", "127.0.0.1:1", "ready"))
+			fmt.Fprintf(w, `{"index":7,"snapshot":true,"endpoints":[%s]}`, endpointJSON("b", "127.0.0.1:1", "ready"))
 			return
 		}
 		<-r.Context().Done()
 	}))
-	n.names(t, "[b]")
+	n.awaitEndpoints(t, "[b]")
 	if took, most := time.Since(back), 6*time.Second-cfg.Settings.DrainGrace; took > most {
 		t.Errorf("known %v after discovery's return, want within %v", took, most)
 	}
@@ -220,20 +220,20 @@
 // address is taken whole though its versions are lower; what comes late from
 // the old one does not count.
 func TestReloadMovesDiscovery(t *testing.T) {
-	n := startNode(t, refusing(t))
-	until := func(want string) { t.Helper(); n.names(t, want) }
-	first, firstWatched, firstGone := listServer(t, 9, entryJSON("a", "127.0.0.1:1", "ready"))
-	second, _, _ := listServer(t, 3, entryJSON("b", "127.0.0.1:2", "ready"))
+	n := startNode(t, refusingAddress(t))
+	until := func(want string) { t.Helper(); n.awaitEndpoints(t, want) }
+	first, firstWatched, firstGone := discoveryServer(t, 9, endpointJSON("a", "127.0.0.1:1", "ready"))
+	second, _, _ := discoveryServer(t, 3, endpointJSON("b", "127.0.0.1:2", "ready"))
 	cfg := n.cfg
 	cfg.Discovery = first
 	n.Reload(cfg)
 	until("[a]")
-	wait(t, firstWatched, "the old watch") // the list is known before it begins
+	receive(t, firstWatched, "the old watch") // the list is known before it begins
 	var late *discovery.Client
 	n.post(func() { late = n.discovery })
 	cfg.Discovery = second
 	n.Reload(cfg)
-	wait(t, firstGone, "the end of the old watch")
+	receive(t, firstGone, "the end of the old watch")
 	until("[b]")
 	late.OnUpdate(discovery.List{Version: 10, Snapshot: true})
 	until("[b]")
@@ -254,10 +254,10 @@
 	defer cancel()
 	cfg := testConfig(s.Listener.Addr().String())
 	cfg.Known.Version = 9
-	n := New(cfg, quiet)
-	n.follow(cfg.Known, balancer.CachedUpdate)
+	n := New(cfg, discardLog)
+	n.applyEndpoints(cfg.Known, balancer.CachedUpdate)
 	go n.discovery.Run(ctx)
-	if q := wait(t, first, "the first call"); q != "" {
+	if q := receive(t, first, "the first call"); q != "" {
 		t.Errorf("the first call is for %s, want the whole list", q)
 	}
 }
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -30,22 +30,22 @@
 // TestOpenRequestsAreAnsweredBeforeTheEnd: a request may be open at the order
 // to stop, or come after it, whose deadline is past the node's end.
 func TestOpenRequestsAreAnsweredBeforeTheEnd(t *testing.T) {
-	server, got, _ := silentServer(t)
+	server, got, _ := stallingServer(t)
 	n := startNode(t, server)
-	n.front.phases.answered = 0
+	n.frontend.phases.answered = 0
 	c, later := n.dial(t), n.dial(t)
-	c.ask(t, "saldo", "q", "600")
-	wait(t, got, "the attempt")
+	c.sendGet(t, "saldo", "q", "600")
+	receive(t, got, "the attempt")
 	n.stop()
 	if s := c.status(t); s != http.StatusGatewayTimeout {
 		t.Errorf("the open request is answered %d, want 504", s)
 	}
-	later.ask(t, "saldo", "r", "600")
+	later.sendGet(t, "saldo", "r", "600")
 	if s := later.status(t); s < 500 {
 		t.Errorf("the later request is answered %d, want a failure", s)
 	}
-	n.linger()
-	if err := wait(t, n.ended, "the node's end"); err != nil {
+	n.endServingPhase()
+	if err := receive(t, n.ended, "the node's end"); err != nil {
 		t.Errorf("the node ends with %v", err)
 	}
 }
@@ -73,8 +73,8 @@
 		t.Fatal(err)
 	}
 	ln := lateListener{inner, make(chan struct{}), make(chan struct{})}
-	n := New(testConfig(refusing(t)), quiet)
-	n.front.keepServing = func(func() int) {}
+	n := New(testConfig(refusingAddress(t)), discardLog)
+	n.frontend.keepServing = func(func() int) {}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx, ln) }()
@@ -85,14 +85,14 @@
 	}
 	http.DefaultClient.CloseIdleConnections()
 	stop()
-	wait(t, ln.closed, "the listener's end")
+	receive(t, ln.closed, "the listener's end")
 	select {
 	case err := <-ended:
 		t.Errorf("the node ends with %v", err)
 	case <-time.After(100 * time.Millisecond): // a node that does not wait has ended long ago
 	}
 	close(ln.release)
-	if err := wait(t, ended, "the node's end"); err != nil {
+	if err := receive(t, ended, "the node's end"); err != nil {
 		t.Errorf("the node ends with %v", err)
 	}
 }
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -101,12 +101,12 @@
 }
 
 func (f *frontend) serveRequest(w http.ResponseWriter, r *http.Request) {
-	req, arrival, err := f.parseRequest(w, r)
+	req, err := f.parseRequest(w, r)
 	if err != nil {
 		reject(w, r, err)
 		return
 	}
-	if resp, ok := f.awaitResponse(r.Context(), req, arrival); ok {
+	if resp, ok := f.awaitResponse(r.Context(), req); ok {
 		writeResponse(w, resp)
 		return
 	}
@@ -118,24 +118,24 @@
 
 // awaitResponse passes a request to the node and waits for its response. It
 // returns false if the client has left.
-func (f *frontend) awaitResponse(ctx context.Context, req *request, arrival balancer.RequestArrived) (response, bool) {
+func (f *frontend) awaitResponse(ctx context.Context, req *request) (response, bool) {
 	if c, ok := ctx.Value(clientConnKey{}).(*clientConn); ok {
 		c.setRequestOpen(true)
 		defer c.setRequestOpen(false) // before the client can receive its response
 		if c.clientLeft(ctx) {
 			return response{}, false
 		}
-		req.out.ClientLeft = c.clientLeftNow
+		req.upstream.ClientLeft = c.clientLeftNow
 	}
-	req.open, req.end = context.WithCancel(ctx)
-	defer req.end()
-	f.node.post(func() { f.node.open(req, arrival) })
+	req.ctx, req.cancel = context.WithCancel(ctx)
+	defer req.cancel()
+	f.node.post(func() { f.node.startRequest(req) })
 	select {
-	case resp := <-req.answer:
+	case resp := <-req.response:
 		return resp, true
 	case <-ctx.Done():
-		f.node.post(func() { f.node.abandon(req) })
-	case <-f.node.ended:
+		f.node.post(func() { f.node.abandonRequest(req) })
+	case <-f.node.loopEnded:
 	}
 	return response{}, false
 }
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -14,7 +14,7 @@
 // TestNoRequestHidesInAnother: a body whose end two readers see in two places
 // may hide a request. None of it may reach a server, and the connection ends.
 func TestNoRequestHidesInAnother(t *testing.T) {
-	server, got, _ := silentServer(t)
+	server, got, _ := stallingServer(t)
 	n := startNode(t, server)
 	hidden := "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: hidden\r\nX-Class: saldo\r\nX-Deadline: 60\r\n\r\n"
 	for name, c := range map[string]struct{ line, framing, body string }{
@@ -59,15 +59,15 @@
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
 			<-release
-			io.WriteString(c, okAnswer)
+			io.WriteString(c, okResponse)
 		}
 	}))
 	safe, unsafe := n.dial(t), n.dial(t)
-	safe.ask(t, "saldo", "q", "60")
+	safe.sendGet(t, "saldo", "q", "60")
 	fmt.Fprint(unsafe, "POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: u\r\nX-Class: pagar\r\nX-Deadline: 60\r\nContent-Length: 1\r\n\r\nx")
 	time.Sleep(requestReadTimeout + 200*time.Millisecond)
 	close(release)
-	for name, c := range map[string]raw{"safe": safe, "unsafe": unsafe} {
+	for name, c := range map[string]testClient{"safe": safe, "unsafe": unsafe} {
 		if s := c.status(t); s != 200 {
 			t.Errorf("the %s request is answered %d after a long wait", name, s)
 		}
@@ -78,7 +78,7 @@
 			t.Errorf("a health check is answered %d", s)
 		}
 	}
-	safe.ask(t, "saldo", "r", "60")
+	safe.sendGet(t, "saldo", "r", "60")
 	if s := safe.status(t); s != 200 {
 		t.Errorf("a later request is answered %d", s)
 	}
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -21,7 +21,7 @@
 				}
 				return nil
 			}}
-			ln, err := listenWith(t.Context(), lc, "127.0.0.1:0", quiet)
+			ln, err := listenWith(t.Context(), lc, "127.0.0.1:0", discardLog)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -32,9 +32,9 @@
 
 // TestListenAwaitsItsAddress: the process before holds the address for a while yet.
 func TestListenAwaitsItsAddress(t *testing.T) {
-	before := listen(t)
+	before := newListener(t)
 	time.AfterFunc(300*time.Millisecond, func() { before.Close() })
-	ln, err := Listen(t.Context(), before.Addr().String(), quiet)
+	ln, err := Listen(t.Context(), before.Addr().String(), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 // TestListenGivesUp: what does not pass is told at once.
 func TestListenGivesUp(t *testing.T) {
 	began := time.Now()
-	if _, err := Listen(t.Context(), "127.0.0.1:nowhere", quiet); err == nil || time.Since(began) > maxListenAttempts*listenRetryInterval/2 {
+	if _, err := Listen(t.Context(), "127.0.0.1:nowhere", discardLog); err == nil || time.Since(began) > maxListenAttempts*listenRetryInterval/2 {
 		t.Errorf("%v after %v, want an error at once", err, time.Since(began))
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -24,38 +24,38 @@
 func testConfig(discovery string) Config {
 	return Config{Name: "n0", Discovery: discovery, Seed: 1, MemoryMB: 192, Sockets: 512, Settings: balancer.Settings{
 		Nodes: 1, Zone: "a", Zones: []string{"a"}, MachineTypes: []string{"m2"}, MaxAttempts: 4, CancelAllowed: true, RetryAfterAllowed: true,
-		MaxRetryAfter: 2 * time.Second, ConnectTimeout: enough, IdleConnectionTimeout: time.Hour, MaxOpenRequests: 1000,
+		MaxRetryAfter: 2 * time.Second, ConnectTimeout: testTimeout, IdleConnectionTimeout: time.Hour, MaxOpenRequests: 1000,
 		DrainGrace: time.Second, SlowStartCapacity: 0.3, SlowStartDuration: time.Second, OverloadFactor: 3, OverloadDuration: time.Second,
 		Classes: []balancer.Class{
-			{Name: "saldo", PriorityWeight: 1, LatencyObjective: enough, Deadline: 2 * enough, Idempotency: balancer.Idempotent},
-			{Name: "pedido", PriorityWeight: 1, LatencyObjective: enough, Deadline: 2 * enough, Idempotency: balancer.IdempotentByKey, DeduplicationWindow: time.Second},
-			{Name: "pagar", PriorityWeight: 1, LatencyObjective: enough, Deadline: 2 * enough, Idempotency: balancer.NotIdempotent},
+			{Name: "saldo", PriorityWeight: 1, LatencyObjective: testTimeout, Deadline: 2 * testTimeout, Idempotency: balancer.Idempotent},
+			{Name: "pedido", PriorityWeight: 1, LatencyObjective: testTimeout, Deadline: 2 * testTimeout, Idempotency: balancer.IdempotentByKey, DeduplicationWindow: time.Second},
+			{Name: "pagar", PriorityWeight: 1, LatencyObjective: testTimeout, Deadline: 2 * testTimeout, Idempotency: balancer.NotIdempotent},
 		}}}
 }
 
 // running is a node under test, with a discovery that knows its servers.
-type running struct {
+type testNode struct {
 	*Node
-	dials   *dialHook // of its pool
-	address string
-	stop    context.CancelFunc
-	linger  func() // ends the time in which a stopped node goes on accepting
-	ended   chan error
+	dials           *dialHook // of its pool
+	address         string
+	stop            context.CancelFunc
+	endServingPhase func() // ends the time in which a stopped node goes on accepting
+	ended           chan error
 }
 
-func startNode(t *testing.T, servers ...string) *running {
+func startNode(t *testing.T, servers ...string) *testNode {
 	t.Helper()
 	return startNodeWith(t, func(*balancer.Settings) {}, servers...)
 }
 
 // startNodeWith starts a node whose settings are changed first.
-func startNodeWith(t *testing.T, change func(*balancer.Settings), servers ...string) *running {
+func startNodeWith(t *testing.T, change func(*balancer.Settings), servers ...string) *testNode {
 	t.Helper()
-	return startNodeOn(t, listen(t), func(c *Config) { change(&c.Settings) }, servers...)
+	return startNodeOn(t, newListener(t), func(c *Config) { change(&c.Settings) }, servers...)
 }
 
 // listen opens a listener on a free port of the loopback address.
-func listen(t *testing.T) net.Listener {
+func newListener(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,19 +65,19 @@
 }
 
 // startNodeOn starts a node on a listener; its configuration is changed first.
-func startNodeOn(t *testing.T, ln net.Listener, change func(*Config), servers ...string) *running {
+func startNodeOn(t *testing.T, ln net.Listener, change func(*Config), servers ...string) *testNode {
 	t.Helper()
 	return startNodeWithPool(t, ln, change, func(*upstream.Config) {}, servers...)
 }
 
 // startNodeResting starts a node whose connections to servers rest for so long after an answer.
-func startNodeResting(t *testing.T, rest time.Duration, change func(*balancer.Settings), servers ...string) *running {
+func startNodeResting(t *testing.T, rest time.Duration, change func(*balancer.Settings), servers ...string) *testNode {
 	t.Helper()
-	return startNodeWithPool(t, listen(t), func(c *Config) { change(&c.Settings) }, func(c *upstream.Config) { c.RestTime = rest }, servers...)
+	return startNodeWithPool(t, newListener(t), func(c *Config) { change(&c.Settings) }, func(c *upstream.Config) { c.RestTime = rest }, servers...)
 }
 
 // startNodeWithPool starts a node on a listener; its configuration and that of its pool are changed first.
-func startNodeWithPool(t *testing.T, ln net.Listener, change func(*Config), changePool func(*upstream.Config), servers ...string) *running {
+func startNodeWithPool(t *testing.T, ln net.Listener, change func(*Config), changePool func(*upstream.Config), servers ...string) *testNode {
 	t.Helper()
 	var entries []string
 	for i, s := range servers {
@@ -97,22 +97,22 @@
 	ctx, stop := context.WithCancel(context.Background())
 	cfg := testConfig(disc.Listener.Addr().String())
 	change(&cfg)
-	n := &running{Node: New(cfg, quiet), address: ln.Addr().String(), stop: stop,
+	n := &testNode{Node: New(cfg, discardLog), address: ln.Addr().String(), stop: stop,
 		ended: make(chan error, 1)}
 	n.dials = hookDials(n.Node, changePool)
 	lingered := make(chan struct{})
-	n.linger = sync.OnceFunc(func() { close(lingered) })
-	n.front.keepServing = func(func() int) { <-lingered }
-	n.front.phases = shutdownPhases{answered: enough, closed: 2 * enough} // tests that want less say so
+	n.endServingPhase = sync.OnceFunc(func() { close(lingered) })
+	n.frontend.keepServing = func(func() int) { <-lingered }
+	n.frontend.phases = shutdownPhases{answered: testTimeout, closed: 2 * testTimeout} // tests that want less say so
 	go func() { n.ended <- n.Run(ctx, ln) }()
 	t.Cleanup(func() {
 		stop()
-		n.linger()
+		n.endServingPhase()
 		close(hung)
 		disc.Close()
-		<-n.Node.ended
+		<-n.Node.loopEnded
 	})
-	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		resp, err := http.Get("http://" + n.address + "/health/ready")
 		if err == nil {
 			resp.Body.Close()
@@ -126,7 +126,7 @@
 	}
 }
 
-func (n *running) request(t *testing.T, method, class, id, deadline string, body io.Reader) *http.Request {
+func (n *testNode) request(t *testing.T, method, class, id, deadline string, body io.Reader) *http.Request {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+n.address+"/api/key?a=1", body)
 	if err != nil {
@@ -140,26 +140,26 @@
 	return req
 }
 
-type reply struct {
+type clientResponse struct {
 	status int
 	header http.Header
 	body   string
 }
 
-func do(t *testing.T, req *http.Request) reply {
+func sendRequest(t *testing.T, req *http.Request) clientResponse {
 	t.Helper()
-	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * enough}
+	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * testTimeout}
 	resp, err := c.Do(req)
 	if err != nil {
 		t.Error(err)
-		return reply{}
+		return clientResponse{}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Error(err)
 	}
-	return reply{resp.StatusCode, resp.Header, string(body)}
+	return clientResponse{resp.StatusCode, resp.Header, string(body)}
 }
 
 func TestServes(t *testing.T) {
@@ -177,7 +177,7 @@
 	req.Header.Set("Idempotency-Key", "k-1")
 	req.Header.Set("Connection", "X-Secret, Idempotency-Key")
 	req.Header.Set("X-Secret", "s")
-	got := do(t, req)
+	got := sendRequest(t, req)
 	if got.status != 200 || got.body != "rent" || got.header.Get("X-App") != "yes" || got.header.Get("X-Load") != "" {
 		t.Errorf("answer %+v", got)
 	}
@@ -204,10 +204,10 @@
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhal")
 			return
 		}
-		io.WriteString(c, okAnswer)
+		io.WriteString(c, okResponse)
 	}
 	n := startNode(t, backendServer(t, serve), backendServer(t, serve))
-	if got := do(t, n.request(t, "GET", "saldo", "q", "20", nil)); got.status != 200 || got.body != "hi" || number.Load() != 2 {
+	if got := sendRequest(t, n.request(t, "GET", "saldo", "q", "20", nil)); got.status != 200 || got.body != "hi" || number.Load() != 2 {
 		t.Errorf("answer %+v after %d attempts", got, number.Load())
 	}
 }
@@ -222,7 +222,7 @@
 		}
 	}
 	n := startNode(t, backendServer(t, serve), backendServer(t, serve))
-	got := do(t, n.request(t, "POST", "pagar", "q", "20", strings.NewReader("x")))
+	got := sendRequest(t, n.request(t, "POST", "pagar", "q", "20", strings.NewReader("x")))
 	if got.status != http.StatusBadGateway || number.Load() != 1 {
 		t.Errorf("answer %+v after %d attempts, want a failure after one", got, number.Load())
 	}
@@ -230,10 +230,10 @@
 
 // TestGivenUpIsAnsweredAtOnce, long before its deadline and with the advice to wait.
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
-	n := startNode(t, refusing(t))
+	n := startNode(t, refusingAddress(t))
 	began := time.Now()
-	got := do(t, n.request(t, "POST", "pagar", "q", "600", strings.NewReader("x")))
-	if got.status != http.StatusServiceUnavailable || time.Since(began) > enough {
+	got := sendRequest(t, n.request(t, "POST", "pagar", "q", "600", strings.NewReader("x")))
+	if got.status != http.StatusServiceUnavailable || time.Since(began) > testTimeout {
 		t.Errorf("answer %+v after %v, want a refusal at once", got, time.Since(began))
 	}
 	if wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64); err != nil || wait <= 0 || wait > 2 {
@@ -242,7 +242,7 @@
 }
 
 // silentServer takes requests and says nothing; gone gets a value when a connection ends.
-func silentServer(t *testing.T) (address string, got, gone chan string) {
+func stallingServer(t *testing.T) (address string, got, gone chan string) {
 	got, gone = make(chan string, 100), make(chan string, 100)
 	return backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		req := readRequest(r)
@@ -256,46 +256,46 @@
 	}), got, gone
 }
 
-func wait[T any](t *testing.T, c <-chan T, what string) (v T) {
+func receive[T any](t *testing.T, c <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(enough):
+	case <-time.After(testTimeout):
 		t.Fatal("waited in vain for " + what)
 	}
 	return v
 }
 
 func TestAnsweredByItsDeadline(t *testing.T) {
-	server, _, gone := silentServer(t)
+	server, _, gone := stallingServer(t)
 	n := startNode(t, server)
 	began := time.Now()
-	got := do(t, n.request(t, "POST", "pagar", "q", "2", strings.NewReader("x")))
+	got := sendRequest(t, n.request(t, "POST", "pagar", "q", "2", strings.NewReader("x")))
 	if got.status != http.StatusBadGateway || time.Since(began) < 1500*time.Millisecond {
 		t.Errorf("answer %+v after %v, want a failure at the deadline", got, time.Since(began))
 	}
-	wait(t, gone, "the attempt's end")
+	receive(t, gone, "the attempt's end")
 }
 
 // TestGuard: a module that forgets a request must not cost it its answer.
 func TestGuard(t *testing.T) {
-	server, got, gone := silentServer(t)
+	server, got, gone := stallingServer(t)
 	n := startNode(t, server)
-	answers := make(chan reply, 1)
-	go func() { answers <- do(t, n.request(t, "GET", "saldo", "q", "60", nil)) }()
-	wait(t, got, "the attempt")
+	answers := make(chan clientResponse, 1)
+	go func() { answers <- sendRequest(t, n.request(t, "GET", "saldo", "q", "60", nil)) }()
+	receive(t, got, "the attempt")
 	n.post(func() {
-		n.module = balancer.New(n.cfg.Settings, 1)
-		n.requests["q"].guard.Reset(0)
+		n.balancer = balancer.New(n.cfg.Settings, 1)
+		n.requests["q"].watchdog.Reset(0)
 	})
-	if a := wait(t, answers, "the answer"); a.status != http.StatusGatewayTimeout {
+	if a := receive(t, answers, "the answer"); a.status != http.StatusGatewayTimeout {
 		t.Errorf("answer %+v, want 504", a)
 	}
-	wait(t, gone, "the attempt's end")
+	receive(t, gone, "the attempt's end")
 }
 
 func TestClientGone(t *testing.T) {
-	server, got, gone := silentServer(t)
+	server, got, gone := stallingServer(t)
 	n := startNode(t, server)
 	ctx, cancel := context.WithCancel(context.Background())
 	failed := make(chan error, 1)
@@ -303,14 +303,14 @@
 		_, err := http.DefaultClient.Do(n.request(t, "GET", "saldo", "q", "60", nil).WithContext(ctx))
 		failed <- err
 	}()
-	wait(t, got, "the attempt")
+	receive(t, got, "the attempt")
 	cancel()
-	if err := wait(t, failed, "the client"); !errors.Is(err, context.Canceled) {
+	if err := receive(t, failed, "the client"); !errors.Is(err, context.Canceled) {
 		t.Errorf("the client got %v", err)
 	}
-	wait(t, gone, "the attempt's end")
+	receive(t, gone, "the attempt's end")
 	left := make(chan int, 1)
-	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		n.post(func() { left <- len(n.requests) })
 		if k := <-left; k == 0 {
 			break
@@ -321,7 +321,7 @@
 }
 
 func TestBadRequests(t *testing.T) {
-	server, got, _ := silentServer(t)
+	server, got, _ := stallingServer(t)
 	n := startNode(t, server)
 	for _, c := range []struct {
 		name, method, class, id, deadline string
@@ -350,7 +350,7 @@
 		if c.key != nil {
 			req.Header["Idempotency-Key"] = c.key
 		}
-		if a := do(t, req); a.status != c.want {
+		if a := sendRequest(t, req); a.status != c.want {
 			t.Errorf("%s: answer %+v, want %d", c.name, a, c.want)
 		}
 	}
@@ -368,17 +368,17 @@
 		if readRequest(r) != nil {
 			got <- true
 			<-release
-			io.WriteString(c, okAnswer)
+			io.WriteString(c, okResponse)
 		}
 	}))
-	first := make(chan reply, 1)
-	go func() { first <- do(t, n.request(t, "GET", "saldo", "q", "60", nil)) }()
-	wait(t, got, "the attempt")
-	if a := do(t, n.request(t, "GET", "saldo", "q", "60", nil)); a.status != http.StatusConflict {
+	first := make(chan clientResponse, 1)
+	go func() { first <- sendRequest(t, n.request(t, "GET", "saldo", "q", "60", nil)) }()
+	receive(t, got, "the attempt")
+	if a := sendRequest(t, n.request(t, "GET", "saldo", "q", "60", nil)); a.status != http.StatusConflict {
 		t.Errorf("the second: %+v, want 409", a)
 	}
 	close(release)
-	if a := wait(t, first, "the answer"); a.status != 200 {
+	if a := receive(t, first, "the answer"); a.status != 200 {
 		t.Errorf("the first: %+v, want 200", a)
 	}
 }
@@ -405,29 +405,29 @@
 		for readRequest(r) != nil {
 			got <- true
 			<-release
-			io.WriteString(c, okAnswer)
+			io.WriteString(c, okResponse)
 		}
 	}))
-	answers := make(chan reply, 2)
-	ask := func(id string) { answers <- do(t, n.request(t, "GET", "saldo", id, "20", nil)) }
+	answers := make(chan clientResponse, 2)
+	ask := func(id string) { answers <- sendRequest(t, n.request(t, "GET", "saldo", id, "20", nil)) }
 	go ask("before")
-	wait(t, got, "the attempt before the stop")
+	receive(t, got, "the attempt before the stop")
 	n.stop()
 	go ask("after")
-	wait(t, got, "the attempt after the stop")
+	receive(t, got, "the attempt after the stop")
 	select {
 	case err := <-n.ended:
 		t.Fatalf("the node ends with requests open: %v", err)
 	default:
 	}
-	n.linger()
+	n.endServingPhase()
 	close(release)
 	for range 2 {
-		if a := wait(t, answers, "an answer"); a.status != 200 || a.body != "hi" {
+		if a := receive(t, answers, "an answer"); a.status != 200 || a.body != "hi" {
 			t.Errorf("answer %+v", a)
 		}
 	}
-	if err := wait(t, n.ended, "the node's end"); err != nil {
+	if err := receive(t, n.ended, "the node's end"); err != nil {
 		t.Errorf("the node ends with %v", err)
 	}
 	if c, err := net.Dial("tcp", n.address); err == nil {
@@ -441,13 +441,13 @@
 func TestStopKeepsServing(t *testing.T) {
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
-			io.WriteString(c, okAnswer)
+			io.WriteString(c, okResponse)
 		}
 	}))
 	c := n.dial(t)
 	ask := func(id string) *http.Response {
 		t.Helper()
-		c.ask(t, "saldo", id, "20")
+		c.sendGet(t, "saldo", id, "20")
 		resp, err := http.ReadResponse(c.read, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -460,18 +460,18 @@
 	}
 	ask("before")
 	n.stop()
-	for until := time.Now().Add(enough); !n.front.stopping.Load() && time.Now().Before(until); {
+	for until := time.Now().Add(testTimeout); !n.frontend.stopping.Load() && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
 	if resp := ask("after"); resp.Close {
 		t.Error("the client is told to close while the node can still serve it")
 	}
-	n.front.closing.Store(true)
+	n.frontend.closing.Store(true)
 	if resp := ask("last"); !resp.Close {
 		t.Error("the client is not told to close at the end")
 	}
-	n.linger()
-	if err := wait(t, n.ended, "the node's end"); err != nil {
+	n.endServingPhase()
+	if err := receive(t, n.ended, "the node's end"); err != nil {
 		t.Errorf("the node ends with %v", err)
 	}
 }
@@ -482,7 +482,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newConnectionLimiter(ln, 2, quiet)
+	l := newConnectionLimiter(ln, 2, discardLog)
 	idle := make(chan struct{}, 10)
 	srv := &http.Server{Handler: http.NotFoundHandler(), ConnState: func(c net.Conn, s http.ConnState) {
 		l.trackState(c, s)
@@ -499,14 +499,14 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(enough))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 			t.Fatalf("connection %d: %v", i, err)
 		} else {
 			resp.Body.Close()
 		}
-		wait(t, idle, "the connection to be idle")
+		receive(t, idle, "the connection to be idle")
 		conns = append(conns, c)
 	}
 	if _, err := io.ReadAll(conns[0]); err != nil {
@@ -515,23 +515,23 @@
 }
 
 // raw is a client that speaks on one connection.
-type raw struct {
+type testClient struct {
 	*net.TCPConn
 	read *bufio.Reader
 }
 
-func (n *running) dial(t *testing.T) raw {
+func (n *testNode) dial(t *testing.T) testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", n.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(enough))
-	return raw{c.(*net.TCPConn), bufio.NewReader(c)}
+	c.SetDeadline(time.Now().Add(testTimeout))
+	return testClient{c.(*net.TCPConn), bufio.NewReader(c)}
 }
 
-func (c raw) ask(t *testing.T, class, id, deadline string) {
+func (c testClient) sendGet(t *testing.T, class, id, deadline string) {
 	t.Helper()
 	if _, err := fmt.Fprintf(c, "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline: %s\r\n\r\n",
 		id, class, deadline); err != nil {
@@ -539,7 +539,7 @@
 	}
 }
 
-func (c raw) status(t *testing.T) int {
+func (c testClient) status(t *testing.T) int {
 	t.Helper()
 	resp, err := http.ReadResponse(c.read, nil)
 	if err != nil {
@@ -552,13 +552,13 @@
 // TestHalfClosedClient: an end of sending cancels the request's context as a
 // close does. A handler that returns without a word would answer it 200.
 func TestHalfClosedClient(t *testing.T) {
-	server, got, gone := silentServer(t)
+	server, got, gone := stallingServer(t)
 	n := startNode(t, server)
 	c := n.dial(t)
-	c.ask(t, "saldo", "q", "60")
-	wait(t, got, "the attempt")
+	c.sendGet(t, "saldo", "q", "60")
+	receive(t, got, "the attempt")
 	c.CloseWrite()
-	wait(t, gone, "the attempt's end")
+	receive(t, gone, "the attempt's end")
 	if s := c.status(t); s < 500 {
 		t.Errorf("answer %d, want a failure", s)
 	}
@@ -568,12 +568,12 @@
 // with the time to come back, where clients are told one.
 func TestRefusedAtTheLimitIsToldToWait(t *testing.T) {
 	for _, holdOffs := range []bool{true, false} {
-		server, got, _ := silentServer(t)
+		server, got, _ := stallingServer(t)
 		n := startNodeWith(t, func(s *balancer.Settings) { s.MaxOpenRequests, s.RetryAfterAllowed = 1, holdOffs }, server)
 		c := n.dial(t)
-		c.ask(t, "saldo", "q", "60")
-		wait(t, got, "the attempt")
-		a := do(t, n.request(t, "GET", "saldo", "r", "60", nil))
+		c.sendGet(t, "saldo", "q", "60")
+		receive(t, got, "the attempt")
+		a := sendRequest(t, n.request(t, "GET", "saldo", "r", "60", nil))
 		after, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
 		if told := err == nil && after > 0 && after <= n.cfg.Settings.MaxRetryAfter.Seconds(); a.status != http.StatusServiceUnavailable || told != holdOffs {
 			t.Errorf("hold-offs %v: answer %d with Retry-After %q", holdOffs, a.status, a.header.Get("Retry-After"))
--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -40,31 +40,30 @@
 
 // parseRequest reads a client's request to the end of its body and checks it. The
 // error is a *requestError.
-func (f *frontend) parseRequest(w http.ResponseWriter, r *http.Request) (*request, balancer.RequestArrived, error) {
+func (f *frontend) parseRequest(w http.ResponseWriter, r *http.Request) (*request, error) {
 	// Taken first: while the body is received, or while the request waits behind
 	// another one, the client's timeout is running.
 	receivedAt := requestReceivedAt(r)
 	arrival, timeout, err := f.parseHead(r)
 	if err != nil {
-		return nil, arrival, err
+		return nil, err
 	}
 	body, err := readBody(w, r)
 	if err != nil {
-		return nil, arrival, err
+		return nil, err
 	}
-	req := &request{
-		id:       arrival.ID,
-		deadline: receivedAt.Add(timeout - AnswerMargin),
-		answer:   make(chan response, 1),
-		out: &upstream.Request{
+	return &request{
+		arrival:  arrival,
+		deadline: receivedAt.Add(timeout - ResponseMargin),
+		response: make(chan response, 1),
+		upstream: &upstream.Request{
 			Method: r.Method,
 			URL:    originURL(r.URL),
 			Host:   r.Host,
 			Header: endToEndHeaders(r.Header),
 			Body:   body,
 		},
-	}
-	return req, arrival, nil
+	}, nil
 }
 
 // requestReceivedAt returns when the bytes were received from which the request's
--- a/internal/node/pieces_test.go
+++ b/internal/node/pieces_test.go
@@ -16,35 +16,35 @@
 
 // cutting is a listener whose connections are read in two pieces, the first
 // as long as its number, or byte by byte.
-type cutting struct {
+type splittingListener struct {
 	net.Listener
-	number atomic.Int64
-	single bool
+	accepted   atomic.Int64
+	byteByByte bool
 }
 
-type cutConn struct {
+type splitConn struct {
 	*net.TCPConn
-	first  int
-	single bool
+	firstPiece int
+	byteByByte bool
 }
 
-func (l *cutting) Accept() (net.Conn, error) {
+func (l *splittingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &cutConn{c.(*net.TCPConn), int(l.number.Add(1)), l.single}, nil
+	return &splitConn{c.(*net.TCPConn), int(l.accepted.Add(1)), l.byteByByte}, nil
 }
 
-func (c *cutConn) Read(b []byte) (int, error) {
+func (c *splitConn) Read(b []byte) (int, error) {
 	switch {
-	case c.single:
+	case c.byteByByte:
 		b = b[:min(len(b), 1)]
-	case c.first > 0:
-		b = b[:min(len(b), c.first)]
+	case c.firstPiece > 0:
+		b = b[:min(len(b), c.firstPiece)]
 	}
 	n, err := c.TCPConn.Read(b)
-	c.first -= n
+	c.firstPiece -= n
 	return n, err
 }
 
@@ -85,16 +85,16 @@
 			return ids
 		}
 		size := len(fmt.Sprintf(text, ids(0)...))
-		l := &cutting{Listener: ln, single: name == "byte by byte"}
-		if l.single {
+		l := &splittingListener{Listener: ln, byteByByte: name == "byte by byte"}
+		if l.byteByByte {
 			size = 2
 		}
-		conns := newConnectionLimiter(l, 100, quiet)
-		srv := &http.Server{Handler: n.front, ConnState: conns.trackState, ConnContext: conns.connContext}
+		conns := newConnectionLimiter(l, 100, discardLog)
+		srv := &http.Server{Handler: n.frontend, ConnState: conns.trackState, ConnContext: conns.connContext}
 		go srv.Serve(conns)
 		defer srv.Close()
 		for k := 1; k < size; k++ {
-			c := (&running{address: ln.Addr().String()}).dial(t)
+			c := (&testNode{address: ln.Addr().String()}).dial(t)
 			want := ids(k)
 			fmt.Fprintf(c, text, want...)
 			for i, id := range want {
@@ -149,11 +149,11 @@
 				came <- int(got)
 				io.WriteString(c, text)
 			}))
-			a := do(t, n.request(t, "POST", "pagar", "q", "20", strings.NewReader(body)))
+			a := sendRequest(t, n.request(t, "POST", "pagar", "q", "20", strings.NewReader(body)))
 			if a.status != http.StatusOK || a.body != body {
 				t.Errorf("answer %d with %d bytes, want 200 and %d", a.status, len(a.body), len(body))
 			}
-			if got := wait(t, came, "the request"); got != len(body) {
+			if got := receive(t, came, "the request"); got != len(body) {
 				t.Errorf("%d bytes came to the server, want %d", got, len(body))
 			}
 		})
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -45,20 +45,20 @@
 					if events <- fmt.Sprint(number, " ", id); id == "open" {
 						<-release
 					}
-					io.WriteString(conn, okAnswer)
+					io.WriteString(conn, okResponse)
 				}
 			})
 			expect := func(want string) {
 				t.Helper()
-				if got := wait(t, events, want); got != want {
+				if got := receive(t, events, want); got != want {
 					t.Errorf("%q, want %q", got, want)
 				}
 			}
 			entry := func(status string, since int) string {
 				return fmt.Sprintf(`{"name":"s-0","address":%q,"status":%q,"since_ms":%d}`, address, status, since)
 			}
-			other, got := listening(t)
-			whole := []string{entryJSON("other", other, "ready")}
+			other, got := recordingServer(t)
+			whole := []string{endpointJSON("other", other, "ready")}
 			if c.status != "" {
 				whole = append(whole, entry(c.status, c.since))
 			}
@@ -68,13 +68,13 @@
 				for _, e := range entries {
 					l.Endpoints = append(l.Endpoints, json.RawMessage(e))
 				}
-				n.post(func() { n.follow(l, kind) })
+				n.post(func() { n.applyEndpoints(l, kind) })
 			}
-			begun, come := slowDials(n.dials)
-			ask := func(id string) chan reply {
-				answer := make(chan reply, 1)
-				go func() { answer <- do(t, n.request(t, "GET", "saldo", id, "60", nil)) }()
-				wait(t, begun, "a connection to begin")
+			begun, come := blockDials(n.dials)
+			ask := func(id string) chan clientResponse {
+				answer := make(chan clientResponse, 1)
+				go func() { answer <- sendRequest(t, n.request(t, "GET", "saldo", id, "60", nil)) }()
+				receive(t, begun, "a connection to begin")
 				return answer
 			}
 			open := ask("open")
@@ -83,32 +83,32 @@
 			done := ask("done")
 			come <- struct{}{}
 			expect("1 done")
-			wait(t, done, "its answer")
+			receive(t, done, "its answer")
 			dialled := ask("dialled")
 			if c.drains {
 				follow(balancer.IncrementalUpdate, entry("draining", 0))
 			}
 			if c.moved {
-				address, watched, _ := listServer(t, 3, whole...)
+				address, watched, _ := discoveryServer(t, 3, whole...)
 				cfg := n.cfg
 				cfg.Discovery = address
 				n.Reload(cfg)
-				wait(t, watched, "the watch there") // the list is known before it begins
+				receive(t, watched, "the watch there") // the list is known before it begins
 			} else {
 				follow(balancer.FullUpdate, whole...)
 			}
 			expect("1 ends")
 			close(come)
 			expect("2 ends")
-			if a := wait(t, dialled, "an answer"); a.status != 200 || wait(t, got, "it elsewhere") != "dialled" {
+			if a := receive(t, dialled, "an answer"); a.status != 200 || receive(t, got, "it elsewhere") != "dialled" {
 				t.Errorf("the dialled request is answered %d", a.status)
 			}
 			close(release)
-			if a := wait(t, open, "an answer"); a.status != 200 {
+			if a := receive(t, open, "an answer"); a.status != 200 {
 				t.Errorf("the open request is answered %d", a.status)
 			}
 			expect("0 ends")
-			if !n.front.ready.Load() {
+			if !n.frontend.ready.Load() {
 				t.Error("not ready")
 			}
 		})
@@ -119,17 +119,17 @@
 // has happened to it. The last entry holds, however long the list is.
 func TestLastEntryCounts(t *testing.T) {
 	for _, states := range [][2]string{{"draining", "ready"}, {"ready", "draining"}, {"gone", "ready"}, {"ready", "gone"}} {
-		n := New(testConfig("127.0.0.1:1"), quiet)
+		n := New(testConfig("127.0.0.1:1"), discardLog)
 		dials := hookDials(n, func(*upstream.Config) {})
-		address, _ := answering(t)
+		address, _ := okServer(t)
 		l := discovery.List{Version: 1, Snapshot: true}
 		const servers = 50
 		for _, state := range states {
 			for i := range servers {
-				l.Endpoints = append(l.Endpoints, json.RawMessage(entryJSON(fmt.Sprint("s", i), address, state)))
+				l.Endpoints = append(l.Endpoints, json.RawMessage(endpointJSON(fmt.Sprint("s", i), address, state)))
 			}
 		}
-		n.follow(l, balancer.FullUpdate)
+		n.applyEndpoints(l, balancer.FullUpdate)
 		pooled, leaving := 0, 0
 		for i := range servers {
 			if dialled, outcome := dials.pooled(t, n, fmt.Sprint("s", i), nil); dialled != "" {
@@ -146,7 +146,7 @@
 		case "draining":
 			left = servers
 		}
-		if pooled != listed || n.servers.Len() != listed || leaving != left {
+		if pooled != listed || n.directory.Len() != listed || leaving != left {
 			t.Errorf("%v: %d in the pool, %d leave; want %d and %d", states, pooled, leaving, listed, left)
 		}
 	}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -73,7 +73,7 @@
 func (f *frontend) shutDown(srv *http.Server, ln net.Listener, served <-chan error) error {
 	began := time.Now()
 	f.stopping.Store(true)
-	f.node.post(func() { f.node.answerBy(began.Add(f.phases.answered)) })
+	f.node.post(func() { f.node.tightenDeadlines(began.Add(f.phases.answered)) })
 	f.keepServing(f.connections.openConnections)
 	f.closing.Store(true)
 
@@ -105,3 +105,16 @@
 		time.Sleep(drainInterval)
 	}
 }
+
+// tightenDeadlines makes dueBy the latest deadline of all requests, of those that
+// are open and of those still to arrive, as the node is about to exit. It runs in
+// the loop.
+func (n *Node) tightenDeadlines(dueBy time.Time) {
+	n.responsesDueBy = dueBy
+	for _, r := range n.requests {
+		if !r.answered && dueBy.Before(r.deadline) {
+			r.deadline = dueBy
+			r.watchdog.Reset(time.Until(dueBy))
+		}
+	}
+}
--- a/internal/node/stalled_test.go
+++ b/internal/node/stalled_test.go
@@ -12,10 +12,10 @@
 )
 
 // owedWithin is the time in which a client that stops in the middle of a request gets an error or the end of its connection.
-const owedWithin = 3 * time.Second
+const rejectionLimit = 3 * time.Second
 
 // askedAt is a connection of a client, with the time at which it was made; one that has spoken has had an answer.
-func (n *running) askedAt(t *testing.T, spoken bool) (raw, time.Time) {
+func (n *testNode) connectAt(t *testing.T, spoken bool) (testClient, time.Time) {
 	t.Helper()
 	c, made := n.dial(t), time.Now()
 	if spoken {
@@ -52,9 +52,9 @@
 // TestStalledRequest: a client sends a part of a request, some of it later, and stays. It is owed an end within 3 s: of
 // the first byte, and on a new connection of its making.
 func TestStalledRequest(t *testing.T) {
-	server, _ := answering(t)
+	server, _ := okServer(t)
 	n := startNode(t, server)
-	text := requests(1)
+	text := pipelinedGets(1)
 	for _, spoken := range []bool{false, true} {
 		for _, first := range []int{1, 2, 3, 4, 20} {
 			for _, rest := range []time.Duration{0, 1900 * time.Millisecond} { // before it begins
@@ -62,7 +62,7 @@
 					t.Run(fmt.Sprintf("spoken %v, rest %v, %d and %d bytes", spoken, rest, first, more), func(t *testing.T) {
 						t.Parallel()
 						stalled := watchStalls(t)
-						c, from := n.askedAt(t, spoken)
+						c, from := n.connectAt(t, spoken)
 						time.Sleep(rest)
 						if spoken {
 							from = time.Now()
@@ -73,8 +73,8 @@
 							io.WriteString(c, text[first:first+more])
 						}
 						resp, err := http.ReadResponse(c.read, nil)
-						if took := time.Since(from); took > owedWithin+stalled() || err == nil && resp.StatusCode < 400 || isTimeout(err) {
-							t.Errorf("%v, %v after %v, want an error or the end within %v", resp, err, took, owedWithin)
+						if took := time.Since(from); took > rejectionLimit+stalled() || err == nil && resp.StatusCode < 400 || isTimeout(err) {
+							t.Errorf("%v, %v after %v, want an error or the end within %v", resp, err, took, rejectionLimit)
 						}
 					})
 				}
@@ -86,17 +86,17 @@
 // TestSlowRequestIsAwaited: a request begins just before its connection would be closed for being silent, and comes in
 // two parts. It is no connection between requests any more, and is served.
 func TestSlowRequestIsAwaited(t *testing.T) {
-	server, _ := answering(t)
+	server, _ := okServer(t)
 	n := startNode(t, server)
 	for _, spoken := range []bool{false, true} {
 		for _, first := range []int{1, 3, 20} {
-			text := orderText(fmt.Sprintf("%v-%d", spoken, first), "20")
+			text := postText(fmt.Sprintf("%v-%d", spoken, first), "20")
 			t.Run(fmt.Sprintf("spoken %v, %d bytes first", spoken, first), func(t *testing.T) {
 				t.Parallel()
 				const tries, busy = 5, 100 * time.Millisecond
 				for range tries {
 					stalled := watchStalls(t)
-					c, _ := n.askedAt(t, spoken)
+					c, _ := n.connectAt(t, spoken)
 					rest := firstByteTimeout
 					if spoken {
 						rest = idleTimeout
@@ -123,21 +123,21 @@
 // for. Trouble with other clients frees no request of its answer: one that comes then is answered in its time.
 func TestStalledRequestsGiveWay(t *testing.T) {
 	const patience = time.Second
-	server, _ := answering(t)
+	server, _ := okServer(t)
 	for name, part := range map[string]string{
 		"heads":  "GET /api/x HTTP/1.1\r\nHost: app",
-		"bodies": strings.Replace(orderText("stalled", "20"), "Content-Length: 0", "Content-Length: 9", 1) + "part",
+		"bodies": strings.Replace(postText("stalled", "20"), "Content-Length: 0", "Content-Length: 9", 1) + "part",
 		"a byte": "G",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			n := startNodeOn(t, listen(t), func(c *Config) { c.Sockets = 128 }, server)
-			for range 2 * n.front.maxConnections {
+			n := startNodeOn(t, newListener(t), func(c *Config) { c.Sockets = 128 }, server)
+			for range 2 * n.frontend.maxConnections {
 				io.WriteString(n.dial(t), part)
 			}
 			c := n.dial(t)
 			asked := time.Now()
-			c.order(t, "q", strconv.FormatFloat(patience.Seconds(), 'f', 3, 64))
+			c.sendPost(t, "q", strconv.FormatFloat(patience.Seconds(), 'f', 3, 64))
 			if s := c.status(t); s != http.StatusOK || time.Since(asked) > patience {
 				t.Errorf("answer %d after %v, want 200 within %v", s, time.Since(asked), patience)
 			}
