--- /dev/null
+++ b/internal/node/attempt_test.go
@@ -0,0 +1,190 @@
+package node
+
+import (
+	"bankshift/balancer"
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// TestTornAnswerIsAFailedAttempt: a break in the middle of a body must reach
+// no client; another server serves it.
+func TestIncompleteResponseIsRetried(t *testing.T) {
+	var number atomic.Int32
+	serve := func(_ int, c net.Conn, r *bufio.Reader) {
+		if readRequest(r) == nil {
+			return
+		}
+		if number.Add(1) == 1 {
+			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhal")
+			return
+		}
+		io.WriteString(c, okResponse)
+	}
+	n := startNode(t, backendServer(t, serve), backendServer(t, serve))
+	if got := sendRequest(t, n.request(t, "GET", "saldo", "q", "20", nil)); got.status != 200 || got.body != "hi" || number.Load() != 2 {
+		t.Errorf("answer %+v after %d attempts", got, number.Load())
+	}
+}
+
+// TestUnsafeIsNotResent: after a break it may have run, and a refusal would
+// tell the client that another try does no harm.
+func TestNotIdempotentIsNotResent(t *testing.T) {
+	var number atomic.Int32
+	serve := func(_ int, c net.Conn, r *bufio.Reader) {
+		if readRequest(r) != nil {
+			number.Add(1)
+		}
+	}
+	n := startNode(t, backendServer(t, serve), backendServer(t, serve))
+	got := sendRequest(t, n.request(t, "POST", "pagar", "q", "20", strings.NewReader("x")))
+	if got.status != http.StatusBadGateway || number.Load() != 1 {
+		t.Errorf("answer %+v after %d attempts, want a failure after one", got, number.Load())
+	}
+}
+
+// TestTimeToldIsLeft: a connection that comes up late takes from the time that
+// its request tells, which is never more than is left to the client and to the
+// attempt.
+func TestDeadlineSentIsTimeLeft(t *testing.T) {
+	const patience = 2 * testTimeout
+	requests := make(chan *http.Request, 10)
+	release := make(chan string, 1) // takes the answer to a request
+	serve := func(_ int, c net.Conn, r *bufio.Reader) {
+		for {
+			req := readRequest(r)
+			if req == nil {
+				return
+			}
+			requests <- req
+			io.WriteString(c, <-release)
+		}
+	}
+	n := startNodeWith(t, func(s *balancer.Settings) { s.HedgingAllowed, s.ConnectTimeout = true, patience },
+		backendServer(t, serve), backendServer(t, serve), backendServer(t, serve))
+	begun, up := blockDials(n.dials)
+	c := n.dial(t)
+	c.sendGet(t, "saldo", "q", strconv.FormatFloat(patience.Seconds(), 'f', 3, 64))
+	receive(t, begun, "the first connection")
+	read := time.Now() // or earlier
+	check := func(name string, most time.Duration, from time.Time) {
+		t.Helper()
+		delayVisibly()
+		left := most - time.Since(from) // when the first byte leaves there is less
+		up <- struct{}{}
+		if d := deadlineOf(t, receive(t, requests, "the attempt")); d > left {
+			t.Errorf("%s attempt: told %v, and at most %v was left", name, d, left)
+		}
+	}
+	check("the first", patience, read)
+	release <- "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+	receive(t, begun, "the second connection")
+	check("a further", patience, read)
+	for name, timeout := range map[string]time.Duration{"a short": testTimeout, "a long": 2 * patience} {
+		sent := make(chan time.Time, 1)
+		n.post(func() {
+			id, _ := n.directory.ID("s-2")
+			n.startAttempt(balancer.Send{ID: "q", Endpoint: id, Timeout: timeout})
+			sent <- time.Now()
+		})
+		receive(t, begun, "the connection of "+name+" attempt")
+		at := receive(t, sent, "the decision")
+		if timeout > patience {
+			timeout, at = patience, read
+		}
+		check(name, timeout, at)
+	}
+}
+
+// TestClockOfTheClientRuns while the rest of its request comes, and while the
+// request waits behind another one of the same connection.
+func TestClientTimeoutStartsAtArrival(t *testing.T) {
+	const post = "POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: pagar\r\nX-Deadline: %v\r\nContent-Length: 4\r\n\r\n"
+	requests, release := make(chan *http.Request, 2), make(chan bool)
+	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		for {
+			req := readRequest(r)
+			if req == nil {
+				return
+			}
+			requests <- req
+			<-release
+			io.WriteString(c, okResponse)
+		}
+	}))
+	check := func(name string, left time.Duration) {
+		t.Helper()
+		if d := deadlineOf(t, receive(t, requests, name)); d > left {
+			t.Errorf("%s: told %v, and at most %v was left", name, d, left)
+		}
+	}
+	t.Run("slow body", func(t *testing.T) {
+		waitUntil(t, "the test's first connection to close", func() bool { return n.frontend.connections.openConnections() == 0 })
+		c := n.dial(t)
+		fmt.Fprintf(c, post, "slow", testTimeout.Seconds())
+		waitUntil(t, "the head to be read", func() bool { return n.connectionsInRequest() == 1 })
+		read := time.Now()
+		delayVisibly()
+		left := testTimeout - time.Since(read)
+		io.WriteString(c, "body")
+		check("the request", left)
+		release <- true
+		if s := c.status(t); s != 200 {
+			t.Errorf("answer %d", s)
+		}
+	})
+	t.Run("behind another", func(t *testing.T) {
+		c := n.dial(t)
+		fmt.Fprintf(c, post+"body"+post+"body", "first", testTimeout.Seconds(), "second", testTimeout.Seconds())
+		check("the first", testTimeout)
+		read := time.Now() // both came at once
+		delayVisibly()
+		left := testTimeout - time.Since(read)
+		release <- true
+		check("the second", left)
+		release <- true
+		for range 2 {
+			if s := c.status(t); s != 200 {
+				t.Errorf("answer %d", s)
+			}
+		}
+	})
+}
+
+// TestWindowEndsWhileDialling: a keyed request may go out again for as long as
+// its servers drop repeats, and no longer, however late its connection comes up.
+func TestDeduplicationWindowEndsWhileDialing(t *testing.T) {
+	silent, got, _ := stallingServer(t)
+	n := startNodeWith(t, func(s *balancer.Settings) { s.HedgingAllowed, s.ConnectTimeout = true, 3*testTimeout }, silent)
+	begun, release := blockDials(n.dials)
+	release <- struct{}{} // for the first one
+	c := n.dial(t)
+	c.sendGet(t, "saldo", "q", "60")
+	receive(t, begun, "the first connection")
+	receive(t, got, "the first attempt")
+	n.post(func() {
+		id, _ := n.directory.ID("s-0")
+		n.startAttempt(balancer.Send{ID: "q", Endpoint: id, StartWithin: time.Millisecond})
+	})
+	receive(t, begun, "the connection to begin")
+	for until := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		running := make(chan int, 1)
+		n.post(func() { running <- n.requests["q"].runningAttempts })
+		if k := receive(t, running, "the loop"); k == 1 {
+			break
+		} else if time.Now().After(until) {
+			t.Fatal("the attempt waits on for its connection")
+		}
+	}
+	close(release)
+	if len(got) > 0 {
+		t.Error("the request was sent again after its window")
+	}
+}
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -2,170 +2,22 @@
 
 import (
 	"bufio"
-	"bytes"
 	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"os"
-	"strings"
 	"sync"
 	"testing"
 	"time"
 
-	"bankshift/balancer"
 	"bankshift/internal/sockets"
 )
 
-// requests writes so many requests as a client would that does not wait for answers.
-func pipelinedGets(count int) string {
-	var b strings.Builder
-	for i := range count {
-		fmt.Fprintf(&b, "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: p%d\r\nX-Class: saldo\r\nX-Deadline: 60\r\n\r\n", i)
-	}
-	return b.String()
-}
-
-// TestClientLeavesBehindMuch: a client sends more than its open request and
-// goes. That it has left stands behind all that in its socket.
-func TestClientLeavesBehindMuch(t *testing.T) {
-	for name, rest := range map[string]string{"a byte": "G", "as one buffer holds": pipelinedGets(30), "more than that": pipelinedGets(100)} {
-		for _, cancel := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, cancel %v", name, cancel), func(t *testing.T) {
-				server, got, _ := stallingServer(t)
-				n := startNodeWith(t, func(s *balancer.Settings) { s.CancelAllowed = cancel }, server)
-				c := n.dial(t)
-				c.sendGet(t, "saldo", "q", "60")
-				receive(t, got, "the attempt")
-				io.WriteString(c, rest)
-				c.Close()
-				for until := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-					open := make(chan int, 1)
-					n.post(func() {
-						k := 0
-						for _, r := range n.requests {
-							if !r.answered {
-								k++
-							}
-						}
-						open <- k
-					})
-					if k := receive(t, open, "the loop"); k == 0 && n.frontend.connections.openConnections() == 0 {
-						break
-					} else if time.Now().After(until) {
-						t.Fatalf("%d requests are open, on %d connections", k, n.frontend.connections.openConnections())
-					}
-				}
-				if len(got) > 0 {
-					t.Errorf("request %q was sent on behind its client", <-got)
-				}
-			})
-		}
-	}
-}
-
-// TestSendsOneAtATime: what comes behind an open request is read only so far.
-func TestSendsOneAtATime(t *testing.T) {
-	server, got, gone := stallingServer(t)
-	n := startNode(t, server)
-	c := n.dial(t)
-	c.sendGet(t, "saldo", "q", "60")
-	receive(t, got, "the attempt")
-	go func() {
-		for more := []byte(pipelinedGets(100)); ; {
-			if _, err := c.Write(more); err != nil {
-				return
-			}
-		}
-	}()
-	receive(t, gone, "the attempt's end")
-	if _, err := io.Copy(io.Discard, c.read); isTimeout(err) {
-		t.Error("the connection stays open")
-	}
-}
-
-// TestEarlyRequestIsServed: a client that sends its next request behind an
-// open one is served both, one after the other.
-func TestEarlyRequestIsServed(t *testing.T) {
-	release, got := make(chan struct{}), make(chan bool, 30)
-	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
-		for readRequest(r) != nil {
-			got <- true
-			<-release
-			io.WriteString(c, okResponse)
-		}
-	}))
-	c := n.dial(t)
-	c.sendGet(t, "saldo", "q", "60")
-	receive(t, got, "the attempt")
-	io.WriteString(c, pipelinedGets(1)[:9])
-	io.WriteString(c, pipelinedGets(20)[9:])
-	close(release)
-	for i := range 21 {
-		if s := c.status(t); s != 200 {
-			t.Errorf("request %d is answered %d", i, s)
-		}
-	}
-}
-
-// TestManyAtOnce: a client sends hundreds of requests at once, and waits for all their answers.
-func TestManyAtOnce(t *testing.T) {
-	const count = 500 // some 45 KiB
-	server, _ := okServer(t)
-	n := startNode(t, server)
-	c := n.dial(t)
-	var text strings.Builder
-	for i := range count {
-		text.WriteString(postText(fmt.Sprint("q", i), "20"))
-	}
-	go io.WriteString(c, text.String())
-	for i := range count {
-		resp, err := http.ReadResponse(c.read, nil)
-		if err != nil {
-			t.Fatalf("request %d: %v", i, err)
-		}
-		if io.Copy(io.Discard, resp.Body); resp.StatusCode != http.StatusOK {
-			t.Fatalf("request %d is answered %d", i, resp.StatusCode)
-		}
-	}
-	c.Close()
-	ahead := &n.frontend.connections.readAheadBytes
-	waitUntil(t, "what is read ahead to be given back", func() bool { return ahead.Load() == 0 })
-	early := n.dial(t)
-	io.WriteString(early, text.String()) // its ids are free again
-	early.Close()
-	waitUntil(t, "the connection to end", func() bool { return n.frontend.connections.openConnections() == 0 })
-	if left := ahead.Load(); left != 0 {
-		t.Errorf("%d bytes stay counted as read ahead", left)
-	}
-}
-
-// connPair is a node's end and a client's end of one connection.
-func connectionPair(t *testing.T) (*clientConn, net.Conn) {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	client, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	l := newConnectionLimiter(ln, 10, discardLog)
-	c, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close(); client.Close() })
-	c.SetReadDeadline(time.Now().Add(testTimeout))
-	return c.(*clientConn), client
-}
-
 // TestRetireSparesARequest: one that has begun to come, or waits unread, or is
 // read in the very instant in which its connection is given up.
-func TestRetireSparesARequest(t *testing.T) {
+func TestDrainSparesRequest(t *testing.T) {
 	buffer := make([]byte, 100)
 	t.Run("unread", func(t *testing.T) {
 		c, client := connectionPair(t)
@@ -227,103 +79,164 @@
 	})
 }
 
-// crossing is a connection on which something happens between a read's call and its bytes.
-type interruptedConn struct {
-	*net.TCPConn
-	beforeRead func()
-}
-
-func (c interruptedConn) Read(b []byte) (int, error) {
-	c.beforeRead()
-	c.TCPConn.SetReadDeadline(time.Now().Add(testTimeout)) // the bytes came before the deadline did
-	return c.TCPConn.Read(b)
+// TestRetireSparesAReadRequest: a connection comes to rest and is given up in
+// the same instant, at the node's end or at the limit of connections, while
+// its next request has been read already behind the one before. That one is
+// served, and its connection counts for as long.
+func TestDrainSparesReadRequest(t *testing.T) {
+	for name, give := range map[string]func(l *connectionLimiter){
+		"at the end": func(l *connectionLimiter) { l.drain(time.Now()) },
+		"at the limit": func(l *connectionLimiter) {
+			l.mu.Lock()
+			defer l.mu.Unlock()
+			if !l.evict(time.Now()) {
+				t.Error("no connection is given up")
+			}
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			got, release := make(chan bool, 2), make(chan bool, 2)
+			n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+				for readRequest(r) != nil {
+					got <- true
+					<-release
+					io.WriteString(c, okResponse)
+				}
+			}))
+			ln, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			l := newConnectionLimiter(ln, 1, discardLog)
+			given := sync.OnceFunc(func() { give(l) })
+			srv := &http.Server{Handler: n.frontend, ConnContext: l.connContext, IdleTimeout: idleTimeout, ConnState: func(c net.Conn, s http.ConnState) {
+				if l.trackState(c, s); s == http.StateIdle {
+					given()
+				}
+			}}
+			go srv.Serve(l)
+			defer srv.Close()
+			c := (&testNode{address: ln.Addr().String()}).dial(t)
+			io.WriteString(c, pipelinedGets(2))
+			for i := range 2 {
+				receive(t, got, "a request")
+				if open := l.openConnections(); open != 1 {
+					t.Errorf("%d connections count, want 1", open)
+				}
+				release <- true
+				if s := c.status(t); s != 200 {
+					t.Errorf("request %d is answered %d", i, s)
+				}
+			}
+		})
+	}
 }
 
-// TestEndSparesHalfARequest: at the node's end a connection between requests
-// is closed, and one on which a request has begun to come gets its answer.
-func TestEndSparesHalfARequest(t *testing.T) {
-	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
-		for readRequest(r) != nil {
-			io.WriteString(c, okResponse)
-		}
-	}))
-	half, idle := n.dial(t), n.dial(t)
-	for i, c := range []testClient{half, idle} {
-		c.sendGet(t, "saldo", fmt.Sprint("first", i), "60")
-		if s := c.status(t); s != 200 {
-			t.Fatalf("answer %d", s)
-		}
-	}
+// TestStalledRequest: a client sends a part of a request, some of it later, and stays. It is owed an end within 3 s: of
+// the first byte, and on a new connection of its making.
+func TestStalledRequest(t *testing.T) {
+	server, _ := okServer(t)
+	n := startNode(t, server)
 	text := pipelinedGets(1)
-	io.WriteString(half, text[:20])
-	heard := func(c net.Conn) bool {
-		n.frontend.connections.mu.Lock()
-		defer n.frontend.connections.mu.Unlock()
-		for lc := range n.frontend.connections.idle {
-			if lc.RemoteAddr().String() == c.LocalAddr().String() {
-				lc.mu.Lock()
-				defer lc.mu.Unlock()
-				return lc.receivedSinceIdle
+	for _, spoken := range []bool{false, true} {
+		for _, first := range []int{1, 2, 3, 4, 20} {
+			for _, rest := range []time.Duration{0, 1900 * time.Millisecond} { // before it begins
+				for _, more := range []int{0, 10} { // bytes that come 1.5 s later
+					t.Run(fmt.Sprintf("spoken %v, rest %v, %d and %d bytes", spoken, rest, first, more), func(t *testing.T) {
+						t.Parallel()
+						stalled := watchStalls(t)
+						c, from := n.connectAt(t, spoken)
+						time.Sleep(rest)
+						if spoken {
+							from = time.Now()
+						}
+						io.WriteString(c, text[:first])
+						if more > 0 && (spoken || rest == 0) {
+							time.Sleep(1500 * time.Millisecond)
+							io.WriteString(c, text[first:first+more])
+						}
+						resp, err := http.ReadResponse(c.read, nil)
+						if took := time.Since(from); took > rejectionLimit+stalled() || err == nil && resp.StatusCode < 400 || isTimeout(err) {
+							t.Errorf("%v, %v after %v, want an error or the end within %v", resp, err, took, rejectionLimit)
+						}
+					})
+				}
 			}
 		}
-		return false
 	}
-	for until := time.Now().Add(testTimeout); !heard(half); time.Sleep(time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatal("the half request is not read")
+}
+
+// TestSlowRequestIsAwaited: a request begins just before its connection would be closed for being silent, and comes in
+// two parts. It is no connection between requests any more, and is served.
+func TestSlowRequestIsServed(t *testing.T) {
+	server, _ := okServer(t)
+	n := startNode(t, server)
+	for _, spoken := range []bool{false, true} {
+		for _, first := range []int{1, 3, 20} {
+			text := postText(fmt.Sprintf("%v-%d", spoken, first), "20")
+			t.Run(fmt.Sprintf("spoken %v, %d bytes first", spoken, first), func(t *testing.T) {
+				t.Parallel()
+				const tries, busy = 5, 100 * time.Millisecond
+				for range tries {
+					stalled := watchStalls(t)
+					c, _ := n.connectAt(t, spoken)
+					rest := firstByteTimeout
+					if spoken {
+						rest = idleTimeout
+					}
+					time.Sleep(rest - 200*time.Millisecond)
+					io.WriteString(c, text[:first])
+					time.Sleep(500 * time.Millisecond)
+					io.WriteString(c, text[first:])
+					resp, err := http.ReadResponse(c.read, nil)
+					if err == nil && resp.StatusCode == http.StatusOK {
+						return
+					}
+					if stalled() < busy { // else its parts came later than meant
+						t.Fatalf("%v, %v; want 200", resp, err)
+					}
+				}
+				t.Errorf("not served in %d tries, each kept from running for over %v", tries, busy)
+			})
 		}
 	}
-	n.stop()
-	n.endServingPhase()
-	if _, err := idle.read.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection: %v, want its end", err)
-	}
-	io.WriteString(half, text[20:])
-	resp, err := http.ReadResponse(half.read, nil)
-	if err != nil {
-		t.Fatalf("no answer: %v", err)
-	}
-	var body bytes.Buffer
-	body.ReadFrom(resp.Body)
-	if resp.StatusCode != 200 || body.String() != "hi" || !resp.Close {
-		t.Errorf("answer %d %q, close %v", resp.StatusCode, &body, resp.Close)
-	}
-	if err := receive(t, n.ended, "the node's end"); err != nil {
-		t.Errorf("the node ends with %v", err)
-	}
 }
 
-// TestNextRequestMayBeLong: a client that has its answer may send a long
-// request before net/http has ended its watch on the connection. That is no
-// breach, and the client has not left.
-func TestNextRequestMayBeLong(t *testing.T) {
-	for _, open := range []bool{false, true} {
-		c, client := connectionPair(t)
-		gone := make(chan bool, 1)
-		c.cancelRequests = func() { gone <- true }
-		c.setRequestOpen(open)
-		long := bytes.Repeat([]byte("x"), 2*maxReadAhead)
-		go client.Write(long)
-		if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil {
-			t.Fatalf("reads %d bytes, %v", n, err)
-		}
-		if open {
-			receive(t, gone, "the end of a client that does not wait for its answer")
-			continue
-		}
-		paused := func() bool {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			return !c.readingAhead && len(c.readAhead) > maxReadAhead
-		}
-		for until := time.Now().Add(testTimeout); !paused() && time.Now().Before(until); {
-			time.Sleep(time.Millisecond) // until as much has been read ahead as may be
-		}
-		if _, err := io.ReadFull(c, make([]byte, len(long)-1)); err != nil {
-			t.Errorf("of the rest: %v", err)
+// TestHalfRequests: a head or a body that never ends is given up within the 3 s that bad clients are owed an end.
+func TestIncompleteRequestsTimeOut(t *testing.T) {
+	server, got, _ := stallingServer(t)
+	n := startNode(t, server)
+	if firstByteTimeout >= rejectionLimit || requestReadTimeout >= rejectionLimit || firstRequestTimeout >= rejectionLimit || idleTimeout >= rejectionLimit {
+		t.Errorf("a connection may be silent %v, a request take %v, the first one %v, a connection be idle %v", firstByteTimeout, requestReadTimeout, firstRequestTimeout, idleTimeout)
+	}
+	for name, text := range map[string]string{
+		"half a head": "GET /api/x HTTP/1.1\r\nHost: app",
+		"half a body": "POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: q\r\nX-Class: pagar\r\nX-Deadline: 60\r\nContent-Length: 9\r\n\r\nhal",
+	} {
+		c := n.dial(t)
+		io.WriteString(c, text)
+		resp, err := http.ReadResponse(c.read, nil)
+		if err == nil && resp.StatusCode < 400 || err != nil && isTimeout(err) {
+			t.Errorf("%s: %v, %v, want an error or the end of the connection", name, resp, err)
 		}
-		if len(gone) > 0 {
-			t.Error("the client is taken for gone")
+	}
+	// An answer to a body that is too long must reach the client though it still sends.
+	c := n.dial(t)
+	fmt.Fprintf(c, "POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: q\r\nX-Class: pagar\r\nX-Deadline: 60\r\nContent-Length: %d\r\n\r\n", 60<<20)
+	go func() {
+		for chunk := make([]byte, 64<<10); ; {
+			if _, err := c.Write(chunk); err != nil {
+				return
+			}
 		}
+	}()
+	if resp, err := http.ReadResponse(c.read, nil); err != nil || resp.StatusCode != http.StatusRequestEntityTooLarge {
+		t.Errorf("60 MB: %v, %v, want 413", resp, err)
+	}
+	if len(got) > 0 {
+		t.Error("a request reached a server")
 	}
 }
+
+// owedWithin is the time in which a client that stops in the middle of a request gets an error or the end of its connection.
+const rejectionLimit = 3 * time.Second
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -38,7 +38,7 @@
 
 // TestNoProbesOnSockets: settings written for the simulator may allow what the
 // protocol on sockets does not have. A look would hold each request and refuse it.
-func TestNoProbesOnSockets(t *testing.T) {
+func TestNoHealthChecksOnSockets(t *testing.T) {
 	c, err := ParseConfig([]byte(strings.Replace(validConfig, `"caps":{`, `"report":{"how":"probe","fields":["active"]},"caps":{"probes":true,"peers":true,`, 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 }
 
 // TestConfigOutlastsAWant of descriptors; a file that is missing is told at once.
-func TestConfigOutlastsAWant(t *testing.T) {
+func TestConfigReadRetries(t *testing.T) {
 	for _, c := range []struct {
 		err   error
 		calls int
--- a/internal/node/connlimit_test.go
+++ b/internal/node/connlimit_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"bufio"
 	"fmt"
 	"io"
 	"net"
@@ -11,106 +10,9 @@
 	"time"
 )
 
-// TestSilentClientsGiveWay: clients that connect by hundreds and say nothing
-// must neither shut out one that asks nor wait unheard.
-func TestSilentClientsGiveWay(t *testing.T) {
-	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
-		for readRequest(r) != nil {
-			io.WriteString(c, okResponse)
-		}
-	}))
-	most := n.frontend.maxConnections
-	var silent []testClient
-	for range 2 * most {
-		silent = append(silent, n.dial(t))
-	}
-	// A client that is turned away in the rush comes again and gets its turn.
-	for i, until := 0, time.Now().Add(testTimeout); ; i++ {
-		c := n.dial(t)
-		fmt.Fprintf(c, "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: q%d\r\nX-Class: saldo\r\nX-Deadline: 60\r\n\r\n", i)
-		if resp, err := http.ReadResponse(c.read, nil); err == nil && resp.StatusCode == 200 {
-			break
-		}
-		if time.Now().After(until) {
-			t.Fatal("no client is served")
-		}
-	}
-	for i, c := range silent {
-		if _, err := c.read.ReadByte(); err == nil || isTimeout(err) {
-			t.Fatalf("silent client %d gets %v, want the end of its connection", i, err)
-		}
-	}
-}
-
-func isTimeout(err error) bool {
-	ne, ok := err.(net.Error)
-	return ok && ne.Timeout()
-}
-
-// TestHalfRequests: a head or a body that never ends is given up within the 3 s that bad clients are owed an end.
-func TestHalfRequests(t *testing.T) {
-	server, got, _ := stallingServer(t)
-	n := startNode(t, server)
-	if firstByteTimeout >= rejectionLimit || requestReadTimeout >= rejectionLimit || firstRequestTimeout >= rejectionLimit || idleTimeout >= rejectionLimit {
-		t.Errorf("a connection may be silent %v, a request take %v, the first one %v, a connection be idle %v", firstByteTimeout, requestReadTimeout, firstRequestTimeout, idleTimeout)
-	}
-	for name, text := range map[string]string{
-		"half a head": "GET /api/x HTTP/1.1\r\nHost: app",
-		"half a body": "POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: q\r\nX-Class: pagar\r\nX-Deadline: 60\r\nContent-Length: 9\r\n\r\nhal",
-	} {
-		c := n.dial(t)
-		io.WriteString(c, text)
-		resp, err := http.ReadResponse(c.read, nil)
-		if err == nil && resp.StatusCode < 400 || err != nil && isTimeout(err) {
-			t.Errorf("%s: %v, %v, want an error or the end of the connection", name, resp, err)
-		}
-	}
-	// An answer to a body that is too long must reach the client though it still sends.
-	c := n.dial(t)
-	fmt.Fprintf(c, "POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: q\r\nX-Class: pagar\r\nX-Deadline: 60\r\nContent-Length: %d\r\n\r\n", 60<<20)
-	go func() {
-		for chunk := make([]byte, 64<<10); ; {
-			if _, err := c.Write(chunk); err != nil {
-				return
-			}
-		}
-	}()
-	if resp, err := http.ReadResponse(c.read, nil); err != nil || resp.StatusCode != http.StatusRequestEntityTooLarge {
-		t.Errorf("60 MB: %v, %v, want 413", resp, err)
-	}
-	if len(got) > 0 {
-		t.Error("a request reached a server")
-	}
-}
-
-// TestRetireSparesNewConnections: the first request of one that has just come
-// is on its way. Those that have been silent for long, or are between
-// requests, are closed.
-func TestRetireSparesNewConnections(t *testing.T) {
-	now := time.Now()
-	for _, c := range []struct {
-		name    string
-		unused  idleState
-		retired bool
-	}{
-		{"just come", idleState{since: now.Add(-silenceAllowance / 2)}, false},
-		{"silent", idleState{since: now.Add(-silenceAllowance)}, true},
-		{"between requests", idleState{since: now, servedBefore: true}, true},
-	} {
-		lc, _ := connectionPair(t)
-		lc.limiter.idle[lc] = c.unused
-		lc.limiter.drain(now)
-		lc.mu.Lock()
-		if lc.draining != c.retired {
-			t.Errorf("%s: retired %v, want %v", c.name, lc.draining, c.retired)
-		}
-		lc.mu.Unlock()
-	}
-}
-
 // TestCrowdShutsNobodyOut: a crowd of idle clients takes all places at once. Requests on connections that come right
 // behind it are answered, each on its first connection.
-func TestCrowdShutsNobodyOut(t *testing.T) {
+func TestCrowdOfIdleClients(t *testing.T) {
 	server, _ := okServer(t)
 	n := startNodeOn(t, newListener(t), func(c *Config) { c.Sockets = 128 }, server)
 	for range 3 {
@@ -150,7 +52,7 @@
 }
 
 // TestFullOfRequests: all places are taken by connections that carry requests. A further client waits for one of them.
-func TestFullOfRequests(t *testing.T) {
+func TestAllSlotsCarryRequests(t *testing.T) {
 	const places = 4
 	l := newConnectionLimiter(newListener(t), places, discardLog)
 	got, release := make(chan bool, 100), make(chan struct{})
--- a/internal/node/discovery_test.go
+++ b/internal/node/endpoints_test.go
@@ -1,39 +1,23 @@
 package node
 
 import (
+	"bankshift/balancer"
+	"bankshift/internal/discovery"
+	"bankshift/internal/upstream"
+	"bufio"
 	"context"
 	"encoding/json"
 	"fmt"
-	"log/slog"
+	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"strings"
 	"syscall"
 	"testing"
 	"time"
-
-	"bankshift/balancer"
-	"bankshift/internal/discovery"
-	"bankshift/internal/upstream"
 )
 
-var discardLog = slog.New(slog.DiscardHandler)
-
-func endpointJSON(name, address, status string) string {
-	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m2","group":3,"status":%q,"weight":1.5,"since_ms":7}`, name, address, status)
-}
-
-func TestSinceOnTheModulesClock(t *testing.T) {
-	n := New(testConfig("127.0.0.1:1"), discardLog)
-	before := time.Now().UnixMilli()
-	if now := n.now(); now < time.Duration(before)*time.Millisecond || now > time.Duration(before)*time.Millisecond+testTimeout {
-		t.Errorf("the module's clock reads %v at Unix time %d ms", now, before)
-	}
-}
-
-func TestFollowSetsAddresses(t *testing.T) {
+func TestApplyEndpointsSetsAddresses(t *testing.T) {
 	n := New(testConfig("127.0.0.1:1"), discardLog)
 	dials := hookDials(n, func(*upstream.Config) {})
 	apply := func(kind balancer.UpdateKind, entries ...string) {
@@ -74,62 +58,11 @@
 	check("empty", nil)
 }
 
-// listServer is a discovery with one list, which it gives to who has another
-// version; watches on it hang. watched gets a value when one begins, gone when it ends.
-func discoveryServer(t *testing.T, index int, entries ...string) (address string, watched, gone chan bool) {
-	t.Helper()
-	watched, gone = make(chan bool, 100), make(chan bool, 100)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Query().Get("from") == fmt.Sprint(index) {
-			watched <- true
-			<-r.Context().Done()
-			gone <- true
-			return
-		}
-		fmt.Fprintf(w, `{"index":%d,"snapshot":true,"endpoints":[%s]}`, index, strings.Join(entries, ","))
-	}))
-	t.Cleanup(s.CloseClientConnections)
-	return s.Listener.Addr().String(), watched, gone
-}
-
-// startConfig starts a node that is told cfg, but for where to listen.
-func startNodeFromConfig(t *testing.T, cfg Config) *testNode {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	n := &testNode{Node: New(cfg, discardLog), address: ln.Addr().String(), stop: stop, endServingPhase: func() {}, ended: make(chan error, 1)}
-	n.frontend.keepServing = func(func() int) {}
-	n.frontend.phases = shutdownPhases{answered: testTimeout, closed: 2 * testTimeout}
-	go func() { n.ended <- n.Run(ctx, ln) }()
-	t.Cleanup(func() {
-		stop()
-		<-n.Node.loopEnded
-	})
-	return n
-}
-
-// names waits until the node's list is want.
-func (n *testNode) awaitEndpoints(t *testing.T, want string) {
-	t.Helper()
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		got := make(chan string, 1)
-		n.post(func() { got <- fmt.Sprint(n.directory.Names()) })
-		if list := receive(t, got, "the list"); list == want {
-			return
-		} else if time.Now().After(end) {
-			t.Fatalf("the list is %s, want %s", list, want)
-		}
-	}
-}
-
 // TestAskedCallHangsBehindAFailure: where lists are asked for, the call behind
 // a failed one may hang through the end of an outage, so it is not one that
 // may wait: what discovery has at its return is known within 6 s, the drain
 // grace taken off.
-func TestAskedCallHangsBehindAFailure(t *testing.T) {
+func TestPollOnDemandHangsAfterFailure(t *testing.T) {
 	hung, broken := make(chan bool, 1), make(chan bool, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("from") == "" {
@@ -162,39 +95,9 @@
 	}
 }
 
-// boundPort is a port of the loopback address that refuses connections until
-// listen is called.
-func boundPort(t *testing.T) (address string, listen func() net.Listener) {
-	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	f := os.NewFile(uintptr(fd), "bound")
-	t.Cleanup(func() { f.Close() })
-	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	sa, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return fmt.Sprintf("127.0.0.1:%d", sa.(*syscall.SockaddrInet4).Port), func() net.Listener {
-		if err := syscall.Listen(fd, 128); err != nil {
-			t.Fatal(err)
-		}
-		ln, err := net.FileListener(f)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { ln.Close() })
-		return ln
-	}
-}
-
 // TestAskedCallsAreRefused: discovery refuses connections, as the waits behind
 // the calls have grown long, and is back.
-func TestAskedCallsAreRefused(t *testing.T) {
+func TestPollsOnDemandAreRefused(t *testing.T) {
 	address, listen := boundPort(t)
 	cfg := testConfig(address)
 	cfg.Settings.EndpointsOnDemand = true
@@ -216,34 +119,9 @@
 	}
 }
 
-// TestReloadMovesDiscovery: the old watch ends, and the list at the new
-// address is taken whole though its versions are lower; what comes late from
-// the old one does not count.
-func TestReloadMovesDiscovery(t *testing.T) {
-	n := startNode(t, refusingAddress(t))
-	until := func(want string) { t.Helper(); n.awaitEndpoints(t, want) }
-	first, firstWatched, firstGone := discoveryServer(t, 9, endpointJSON("a", "127.0.0.1:1", "ready"))
-	second, _, _ := discoveryServer(t, 3, endpointJSON("b", "127.0.0.1:2", "ready"))
-	cfg := n.cfg
-	cfg.Discovery = first
-	n.Reload(cfg)
-	until("[a]")
-	receive(t, firstWatched, "the old watch") // the list is known before it begins
-	var late *discovery.Client
-	n.post(func() { late = n.discovery })
-	cfg.Discovery = second
-	n.Reload(cfg)
-	receive(t, firstGone, "the end of the old watch")
-	until("[b]")
-	late.OnUpdate(discovery.List{Version: 10, Snapshot: true})
-	until("[b]")
-	n.Reload(cfg) // the same again changes nothing
-	until("[b]")
-}
-
 // TestNewProcessTakesTheWholeList: the version of the list that a node is
 // started with may be of another discovery, where it means nothing.
-func TestNewProcessTakesTheWholeList(t *testing.T) {
+func TestNewProcessFetchesFullList(t *testing.T) {
 	first := make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		first <- r.URL.RawQuery
@@ -261,3 +139,141 @@
 		t.Errorf("the first call is for %s, want the whole list", q)
 	}
 }
+
+// TestWholeListLeavesOut: a whole list, after a reload or from the watch that
+// goes on, leaves out a server that still answers, or names a new process of
+// it. Its resting connection is closed at once, nothing begins on it, not even
+// what is being dialled, and what it has already is served to the end.
+func TestFullListRemovesEndpoint(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		moved, drains bool   // discovery moves; the server was announced as draining before
+		status        string // of the server in the whole list
+		since         int
+	}{
+		{"left out after a reload", true, false, "", 0},
+		{"drained, then left out after a reload", true, true, "", 0},
+		{"left out by the watch", false, false, "", 0},
+		{"drains after a reload", true, false, "draining", 0},
+		{"restarted", false, false, "ready", 5},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			release := make(chan bool)
+			events := make(chan string, 20) // connection and request, or the connection's end
+			address := backendServer(t, func(number int, conn net.Conn, r *bufio.Reader) {
+				for {
+					req := readRequest(r)
+					if req == nil {
+						events <- fmt.Sprint(number, " ends")
+						return
+					}
+					id := req.Header.Get("X-Request-Id")
+					if events <- fmt.Sprint(number, " ", id); id == "open" {
+						<-release
+					}
+					io.WriteString(conn, okResponse)
+				}
+			})
+			expect := func(want string) {
+				t.Helper()
+				if got := receive(t, events, want); got != want {
+					t.Errorf("%q, want %q", got, want)
+				}
+			}
+			entry := func(status string, since int) string {
+				return fmt.Sprintf(`{"name":"s-0","address":%q,"status":%q,"since_ms":%d}`, address, status, since)
+			}
+			other, got := recordingServer(t)
+			whole := []string{endpointJSON("other", other, "ready")}
+			if c.status != "" {
+				whole = append(whole, entry(c.status, c.since))
+			}
+			n := startNodeResting(t, time.Hour, func(*balancer.Settings) {}, address) // so that each request needs a new connection
+			follow := func(kind balancer.UpdateKind, entries ...string) {
+				l := discovery.List{Version: 1, Snapshot: kind == balancer.FullUpdate}
+				for _, e := range entries {
+					l.Endpoints = append(l.Endpoints, json.RawMessage(e))
+				}
+				n.post(func() { n.applyEndpoints(l, kind) })
+			}
+			begun, come := blockDials(n.dials)
+			ask := func(id string) chan clientResponse {
+				answer := make(chan clientResponse, 1)
+				go func() { answer <- sendRequest(t, n.request(t, "GET", "saldo", id, "60", nil)) }()
+				receive(t, begun, "a connection to begin")
+				return answer
+			}
+			open := ask("open")
+			come <- struct{}{}
+			expect("0 open")
+			done := ask("done")
+			come <- struct{}{}
+			expect("1 done")
+			receive(t, done, "its answer")
+			dialled := ask("dialled")
+			if c.drains {
+				follow(balancer.IncrementalUpdate, entry("draining", 0))
+			}
+			if c.moved {
+				address, watched, _ := discoveryServer(t, 3, whole...)
+				cfg := n.cfg
+				cfg.Discovery = address
+				n.Reload(cfg)
+				receive(t, watched, "the watch there") // the list is known before it begins
+			} else {
+				follow(balancer.FullUpdate, whole...)
+			}
+			expect("1 ends")
+			close(come)
+			expect("2 ends")
+			if a := receive(t, dialled, "an answer"); a.status != 200 || receive(t, got, "it elsewhere") != "dialled" {
+				t.Errorf("the dialled request is answered %d", a.status)
+			}
+			close(release)
+			if a := receive(t, open, "an answer"); a.status != 200 {
+				t.Errorf("the open request is answered %d", a.status)
+			}
+			expect("0 ends")
+			if !n.frontend.ready.Load() {
+				t.Error("not ready")
+			}
+		})
+	}
+}
+
+// TestLastEntryCounts: a list may name a server twice, in the order of what
+// has happened to it. The last entry holds, however long the list is.
+func TestLastEntryOfListHolds(t *testing.T) {
+	for _, states := range [][2]string{{"draining", "ready"}, {"ready", "draining"}, {"gone", "ready"}, {"ready", "gone"}} {
+		n := New(testConfig("127.0.0.1:1"), discardLog)
+		dials := hookDials(n, func(*upstream.Config) {})
+		address, _ := okServer(t)
+		l := discovery.List{Version: 1, Snapshot: true}
+		const servers = 50
+		for _, state := range states {
+			for i := range servers {
+				l.Endpoints = append(l.Endpoints, json.RawMessage(endpointJSON(fmt.Sprint("s", i), address, state)))
+			}
+		}
+		n.applyEndpoints(l, balancer.FullUpdate)
+		pooled, leaving := 0, 0
+		for i := range servers {
+			if dialled, outcome := dials.pooled(t, n, fmt.Sprint("s", i), nil); dialled != "" {
+				pooled++
+				if outcome == balancer.NotSent { // though its connection came up
+					leaving++
+				}
+			}
+		}
+		listed, left := servers, 0
+		switch states[1] {
+		case "gone":
+			listed = 0
+		case "draining":
+			left = servers
+		}
+		if pooled != listed || n.directory.Len() != listed || leaving != left {
+			t.Errorf("%v: %d in the pool, %d leave; want %d and %d", states, pooled, leaving, listed, left)
+		}
+	}
+}
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -6,54 +6,16 @@
 	"io"
 	"net"
 	"net/http"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
 )
 
-// TestNoRequestHidesInAnother: a body whose end two readers see in two places
-// may hide a request. None of it may reach a server, and the connection ends.
-func TestNoRequestHidesInAnother(t *testing.T) {
-	server, got, _ := stallingServer(t)
-	n := startNode(t, server)
-	hidden := "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: hidden\r\nX-Class: saldo\r\nX-Deadline: 60\r\n\r\n"
-	for name, c := range map[string]struct{ line, framing, body string }{
-		"coding, then length":      {"POST /api/x HTTP/1.1", "Transfer-Encoding: chunked\r\nContent-Length: 200\r\n", "0\r\n\r\n" + hidden},
-		"length, then coding":      {"POST /api/x HTTP/1.1", "Content-Length: 200\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n" + hidden},
-		"coding alone":             {"POST /api/x HTTP/1.1", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n" + hidden},
-		"unknown coding":           {"POST /api/x HTTP/1.1", "Transfer-Encoding: gzip, chunked\r\n", "0\r\n\r\n" + hidden},
-		"HTTP/1.0, both":           {"POST /api/x HTTP/1.0", "Connection: keep-alive\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n" + hidden},
-		"two lengths":              {"POST /api/x HTTP/1.1", "Content-Length: 5\r\nContent-Length: 0\r\n", "0\r\n\r\n" + hidden},
-		"negative length":          {"POST /api/x HTTP/1.1", "Content-Length: -5\r\n", hidden},
-		"two GETs, one has a body": {"GET /api/x HTTP/1.1", fmt.Sprintf("Content-Length: %d\r\n", len(hidden)), hidden + hidden},
-	} {
-		class := "pagar"
-		if strings.HasPrefix(c.line, "GET") {
-			class = "saldo"
-		}
-		conn := n.dial(t)
-		fmt.Fprintf(conn, "%s\r\nHost: app.svc\r\nX-Request-Id: q\r\nX-Class: %s\r\nX-Deadline: 60\r\n%s\r\n%s", c.line, class, c.framing, c.body)
-		resp, err := http.ReadResponse(conn.read, nil)
-		if err != nil {
-			t.Errorf("%s: no answer: %v", name, err)
-			continue
-		}
-		io.Copy(io.Discard, resp.Body)
-		if _, err := conn.read.ReadByte(); resp.StatusCode < 400 || err != io.EOF {
-			t.Errorf("%s: answer %d, then %v, want an error and the end of the connection", name, resp.StatusCode, err)
-		}
-	}
-	select {
-	case id := <-got:
-		t.Errorf("request %q reached a server", id)
-	default:
-	}
-}
-
 // TestOldTimeLimitsDoNotReachLater: the limit on reading a request must not end
 // the wait for its answer, as if its client had left, and the limit on writing
 // an answer must not outlive that answer on its connection.
-func TestOldTimeLimitsDoNotReachLater(t *testing.T) {
+func TestTimeLimitsEndWithTheirRequest(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -83,3 +45,47 @@
 		t.Errorf("a later request is answered %d", s)
 	}
 }
+
+func TestReadyOnlyWithEndpoints(t *testing.T) {
+	n := startNode(t)
+	for path, want := range map[string]int{"/health/ready": 503, "/health/live": 200} {
+		resp, err := http.Get("http://" + n.address + path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		resp.Body.Close()
+		if resp.StatusCode != want {
+			t.Errorf("%s: %d, want %d", path, resp.StatusCode, want)
+		}
+	}
+}
+
+func TestServes(t *testing.T) {
+	seen := make(chan *http.Request, 1)
+	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		req, err := http.ReadRequest(r)
+		if err != nil {
+			return
+		}
+		body, _ := io.ReadAll(req.Body)
+		seen <- req
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-App: yes\r\nX-Load: nonsense\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	}))
+	req := n.request(t, "POST", "pedido", "id-1", "20", strings.NewReader("rent"))
+	req.Header.Set("Idempotency-Key", "k-1")
+	req.Header.Set("Connection", "X-Secret, Idempotency-Key")
+	req.Header.Set("X-Secret", "s")
+	got := sendRequest(t, req)
+	if got.status != 200 || got.body != "rent" || got.header.Get("X-App") != "yes" || got.header.Get("X-Load") != "" {
+		t.Errorf("answer %+v", got)
+	}
+	at := <-seen
+	wait, err := strconv.ParseFloat(at.Header.Get("X-Deadline"), 64)
+	if err != nil || wait <= 0 || wait >= 20 {
+		t.Errorf("X-Deadline %q, want a little under 20", at.Header.Get("X-Deadline"))
+	}
+	if at.Method != "POST" || at.RequestURI != "/api/key?a=1" || at.Header.Get("X-Request-Id") != "id-1" ||
+		at.Header.Get("Idempotency-Key") != "k-1" || at.Header.Get("X-Secret") != "" {
+		t.Errorf("the server got %s %s %v", at.Method, at.RequestURI, at.Header)
+	}
+}
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestListenFailsForAMoment: socket and bind fail as the program starts.
-func TestListenFailsForAMoment(t *testing.T) {
+func TestListenRetries(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 		syscall.EINTR, syscall.EADDRINUSE} {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -31,7 +31,7 @@
 }
 
 // TestListenAwaitsItsAddress: the process before holds the address for a while yet.
-func TestListenAwaitsItsAddress(t *testing.T) {
+func TestListenWaitsForAddress(t *testing.T) {
 	before := newListener(t)
 	time.AfterFunc(300*time.Millisecond, func() { before.Close() })
 	ln, err := Listen(t.Context(), before.Addr().String(), discardLog)
--- /dev/null
+++ b/internal/node/parse_test.go
@@ -0,0 +1,163 @@
+package node
+
+import (
+	"bankshift/balancer"
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+)
+
+func TestBadRequests(t *testing.T) {
+	server, got, _ := stallingServer(t)
+	n := startNode(t, server)
+	for _, c := range []struct {
+		name, method, class, id, deadline string
+		key                               []string
+		body                              int
+		want                              int
+	}{
+		{"no id", "GET", "saldo", "", "1", nil, 0, 400},
+		{"long id", "GET", "saldo", strings.Repeat("x", maxIDLength+1), "1", nil, 0, 400},
+		{"no class", "GET", "", "q", "1", nil, 0, 400},
+		{"unknown class", "GET", "odd", "q", "1", nil, 0, 400},
+		{"no deadline", "GET", "saldo", "q", "", nil, 0, 400},
+		{"odd deadline", "GET", "saldo", "q", "soon", nil, 0, 400},
+		{"deadline NaN", "GET", "saldo", "q", "NaN", nil, 0, 400},
+		{"deadline Inf", "GET", "saldo", "q", "Inf", nil, 0, 400},
+		{"negative deadline", "GET", "saldo", "q", "-1", nil, 0, 400},
+		{"safe class, other method", "POST", "saldo", "q", "1", nil, 1, 405},
+		{"unsafe class, other method", "GET", "pagar", "q", "1", nil, 0, 405},
+		{"keyed class, no key", "POST", "pedido", "q", "1", nil, 1, 400},
+		{"keyed class, empty key", "POST", "pedido", "q", "1", []string{""}, 1, 400},
+		{"keyed class, two keys", "POST", "pedido", "q", "1", []string{"k", "l"}, 1, 400},
+		{"unsafe class, key", "POST", "pagar", "q", "1", []string{"k"}, 1, 400},
+		{"body too long", "POST", "pagar", "q", "1", nil, maxBodyBytes + 1, 413},
+	} {
+		req := n.request(t, c.method, c.class, c.id, c.deadline, bytes.NewReader(make([]byte, c.body)))
+		if c.key != nil {
+			req.Header["Idempotency-Key"] = c.key
+		}
+		if a := sendRequest(t, req); a.status != c.want {
+			t.Errorf("%s: answer %+v, want %d", c.name, a, c.want)
+		}
+	}
+	select {
+	case id := <-got:
+		t.Errorf("request %q reached a server", id)
+	default:
+	}
+}
+
+// TestNoRequestHidesInAnother: a body whose end two readers see in two places
+// may hide a request. None of it may reach a server, and the connection ends.
+func TestNoRequestHidesInAnother(t *testing.T) {
+	server, got, _ := stallingServer(t)
+	n := startNode(t, server)
+	hidden := "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: hidden\r\nX-Class: saldo\r\nX-Deadline: 60\r\n\r\n"
+	for name, c := range map[string]struct{ line, framing, body string }{
+		"coding, then length":      {"POST /api/x HTTP/1.1", "Transfer-Encoding: chunked\r\nContent-Length: 200\r\n", "0\r\n\r\n" + hidden},
+		"length, then coding":      {"POST /api/x HTTP/1.1", "Content-Length: 200\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n" + hidden},
+		"coding alone":             {"POST /api/x HTTP/1.1", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n" + hidden},
+		"unknown coding":           {"POST /api/x HTTP/1.1", "Transfer-Encoding: gzip, chunked\r\n", "0\r\n\r\n" + hidden},
+		"HTTP/1.0, both":           {"POST /api/x HTTP/1.0", "Connection: keep-alive\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n" + hidden},
+		"two lengths":              {"POST /api/x HTTP/1.1", "Content-Length: 5\r\nContent-Length: 0\r\n", "0\r\n\r\n" + hidden},
+		"negative length":          {"POST /api/x HTTP/1.1", "Content-Length: -5\r\n", hidden},
+		"two GETs, one has a body": {"GET /api/x HTTP/1.1", fmt.Sprintf("Content-Length: %d\r\n", len(hidden)), hidden + hidden},
+	} {
+		class := "pagar"
+		if strings.HasPrefix(c.line, "GET") {
+			class = "saldo"
+		}
+		conn := n.dial(t)
+		fmt.Fprintf(conn, "%s\r\nHost: app.svc\r\nX-Request-Id: q\r\nX-Class: %s\r\nX-Deadline: 60\r\n%s\r\n%s", c.line, class, c.framing, c.body)
+		resp, err := http.ReadResponse(conn.read, nil)
+		if err != nil {
+			t.Errorf("%s: no answer: %v", name, err)
+			continue
+		}
+		io.Copy(io.Discard, resp.Body)
+		if _, err := conn.read.ReadByte(); resp.StatusCode < 400 || err != io.EOF {
+			t.Errorf("%s: answer %d, then %v, want an error and the end of the connection", name, resp.StatusCode, err)
+		}
+	}
+	select {
+	case id := <-got:
+		t.Errorf("request %q reached a server", id)
+	default:
+	}
+}
+
+// TestRequestsInPieces: two requests, the second right behind the first, are
+// served one after the other, each once and with its own answer, wherever
+// their bytes are cut and in each form that a head may have.
+func TestRequestsReadInPieces(t *testing.T) {
+	var mu sync.Mutex
+	ran := map[string]int{}
+	// With no leave to cancel, no attempt is given up in a hiccup of this machine.
+	n := startNodeResting(t, 0, func(s *balancer.Settings) { s.CancelAllowed = false }, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		for {
+			req, err := http.ReadRequest(r)
+			if err != nil {
+				return
+			}
+			body, _ := io.ReadAll(req.Body)
+			id := req.Header.Get("X-Request-Id")
+			mu.Lock()
+			ran[id]++
+			mu.Unlock()
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s %s", len(id)+len(body)+1, id, body)
+		}
+	}))
+	plain := "POST /api/x?a=1 HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: pedido\r\nX-Deadline: 60\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\nrent" +
+		"GET /api/y HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: saldo\r\nX-Deadline: 60.000\r\n\r\n"
+	odd := "POST http://app.svc/api/x?a=1 HTTP/1.1\nhost:app.svc\nx-request-id:\t%s \nx-class:pedido\nx-deadline: 6e1\nIDEMPOTENCY-KEY:k\nX-Long: a\n b\ncontent-length:4\n\nrent" +
+		"\r\nGET /api/y HTTP/1.1\r\nhOST: app.svc\r\nConnection: keep-alive\r\nX-REQUEST-ID:   %s\r\nX-Class: saldo\r\nX-Deadline: 60\r\nContent-Length: 0\r\n\r\n"
+	for name, text := range map[string]string{"plain": plain, "odd": odd, "byte by byte": plain + odd} {
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		ids := func(k int) (ids []any) {
+			for i := range strings.Count(text, "%s") {
+				ids = append(ids, fmt.Sprintf("%s-%04d-%d", name[:1], k, i))
+			}
+			return ids
+		}
+		size := len(fmt.Sprintf(text, ids(0)...))
+		l := &splittingListener{Listener: ln, byteByByte: name == "byte by byte"}
+		if l.byteByByte {
+			size = 2
+		}
+		conns := newConnectionLimiter(l, 100, discardLog)
+		srv := &http.Server{Handler: n.frontend, ConnState: conns.trackState, ConnContext: conns.connContext}
+		go srv.Serve(conns)
+		defer srv.Close()
+		for k := 1; k < size; k++ {
+			c := (&testNode{address: ln.Addr().String()}).dial(t)
+			want := ids(k)
+			fmt.Fprintf(c, text, want...)
+			for i, id := range want {
+				resp, err := http.ReadResponse(c.read, nil)
+				if err != nil {
+					t.Fatalf("%s, cut at %d: answer %d: %v", name, k, i, err)
+				}
+				body, _ := io.ReadAll(resp.Body)
+				if resp.StatusCode != 200 || string(body) != fmt.Sprint(id, " ", []string{"rent", ""}[i%2]) {
+					t.Errorf("%s, cut at %d: answer %d is %d %q", name, k, i, resp.StatusCode, body)
+				}
+				mu.Lock()
+				if ran[id.(string)] != 1 {
+					t.Errorf("%s, cut at %d: request %d ran %d times", name, k, i, ran[id.(string)])
+				}
+				mu.Unlock()
+			}
+			c.Close()
+		}
+	}
+}
--- a/internal/node/backend_test.go
+++ b/internal/node/testbackend_test.go
@@ -17,9 +17,6 @@
 	"time"
 )
 
-// enough bounds what a test waits for; a passing one takes far less.
-const testTimeout = 30 * time.Second
-
 // backendServer runs a server on a loopback port: script gets each connection and its number.
 func backendServer(t *testing.T, script func(number int, c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
@@ -44,29 +41,36 @@
 	return ln.Addr().String()
 }
 
-// readRequest reads a request with its body; nil if none comes.
-func readRequest(r *bufio.Reader) *http.Request {
-	req, err := http.ReadRequest(r)
-	if err != nil {
-		return nil
-	}
-	io.Copy(io.Discard, req.Body)
-	return req
+// answering is a server that answers each request and tells of it.
+func okServer(t *testing.T) (address string, requests chan *http.Request) {
+	requests = make(chan *http.Request, 1000)
+	return backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		for {
+			req := readRequest(r)
+			if req == nil {
+				return
+			}
+			requests <- req
+			io.WriteString(c, okResponse)
+		}
+	}), requests
 }
 
-// refusing is an address where nothing listens.
-func refusingAddress(t *testing.T) string {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	ln.Close()
-	return ln.Addr().String()
+// silentServer takes requests and says nothing; gone gets a value when a connection ends.
+func stallingServer(t *testing.T) (address string, got, gone chan string) {
+	got, gone = make(chan string, 100), make(chan string, 100)
+	return backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		req := readRequest(r)
+		if req == nil {
+			return
+		}
+		id := req.Header.Get("X-Request-Id")
+		got <- id
+		r.ReadByte()
+		gone <- id
+	}), got, gone
 }
 
-const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: inflight=7,queue=2\r\n\r\nhi"
-
 // listening is a server that tells what comes on its connections: a request's id, or "" for an end.
 func recordingServer(t *testing.T) (address string, got chan string) {
 	got = make(chan string, 10)
@@ -83,6 +87,39 @@
 	}), got
 }
 
+// refusing is an address where nothing listens.
+func refusingAddress(t *testing.T) string {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln.Close()
+	return ln.Addr().String()
+}
+
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: inflight=7,queue=2\r\n\r\nhi"
+
+// readRequest reads a request with its body; nil if none comes.
+func readRequest(r *bufio.Reader) *http.Request {
+	req, err := http.ReadRequest(r)
+	if err != nil {
+		return nil
+	}
+	io.Copy(io.Discard, req.Body)
+	return req
+}
+
+// told is the time that a request tells its server.
+func deadlineOf(t *testing.T, req *http.Request) time.Duration {
+	t.Helper()
+	wait, err := parseTimeout(req.Header.Get("X-Deadline"))
+	if err != nil {
+		t.Errorf("X-Deadline: %v", err)
+	}
+	return wait
+}
+
 // dialHook is called ahead of each connect of a node's pool. A test can set it
 // while the node runs; an error fails the dial.
 type dialHook struct {
@@ -98,18 +135,6 @@
 	return nil
 }
 
-// hookDials gives a node that does not run yet a pool with a hook in its
-// dialer; its configuration is changed first.
-func hookDials(n *Node, change func(*upstream.Config)) *dialHook {
-	_, connections := n.cfg.Connections()
-	c := upstream.ConfigFor(n.cfg.Settings, connections)
-	h := &dialHook{}
-	c.Dialer.ControlContext = h.control
-	change(&c)
-	n.pool = upstream.NewPool(c)
-	return h
-}
-
 // slowDials makes a pool's connections wait: begun gets a value when one
 // begins to come up, and it does not until release has a value or is closed.
 func blockDials(h *dialHook) (begun chan bool, release chan struct{}) {
--- /dev/null
+++ b/internal/node/testclient_test.go
@@ -0,0 +1,118 @@
+package node
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+)
+
+func (n *testNode) request(t *testing.T, method, class, id, deadline string, body io.Reader) *http.Request {
+	t.Helper()
+	req, err := http.NewRequest(method, "http://"+n.address+"/api/key?a=1", body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, value := range map[string]string{"X-Request-Id": id, "X-Class": class, "X-Deadline": deadline} {
+		if value != "" {
+			req.Header.Set(name, value)
+		}
+	}
+	return req
+}
+
+// raw is a client that speaks on one connection.
+type testClient struct {
+	*net.TCPConn
+	read *bufio.Reader
+}
+
+func (n *testNode) dial(t *testing.T) testClient {
+	t.Helper()
+	c, err := net.Dial("tcp", n.address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(testTimeout))
+	return testClient{c.(*net.TCPConn), bufio.NewReader(c)}
+}
+
+// askedAt is a connection of a client, with the time at which it was made; one that has spoken has had an answer.
+func (n *testNode) connectAt(t *testing.T, spoken bool) (testClient, time.Time) {
+	t.Helper()
+	c, made := n.dial(t), time.Now()
+	if spoken {
+		io.WriteString(c, "GET /health/live HTTP/1.1\r\nHost: app.svc\r\n\r\n")
+		if s := c.status(t); s != http.StatusOK {
+			t.Fatalf("answer %d", s)
+		}
+	}
+	return c, made
+}
+
+func (c testClient) sendGet(t *testing.T, class, id, deadline string) {
+	t.Helper()
+	if _, err := fmt.Fprintf(c, "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline: %s\r\n\r\n",
+		id, class, deadline); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// order asks for what must not run twice: its attempt is not given up for another one, however slow the machine is.
+func (c testClient) sendPost(t *testing.T, id, deadline string) {
+	t.Helper()
+	if _, err := io.WriteString(c, postText(id, deadline)); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func (c testClient) status(t *testing.T) int {
+	t.Helper()
+	resp, err := http.ReadResponse(c.read, nil)
+	if err != nil {
+		t.Fatalf("no answer: %v", err)
+	}
+	io.Copy(io.Discard, resp.Body)
+	return resp.StatusCode
+}
+
+func postText(id, deadline string) string {
+	return fmt.Sprintf("POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: pagar\r\nX-Deadline: %s\r\nContent-Length: 0\r\n\r\n",
+		id, deadline)
+}
+
+// requests writes so many requests as a client would that does not wait for answers.
+func pipelinedGets(count int) string {
+	var b strings.Builder
+	for i := range count {
+		fmt.Fprintf(&b, "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: p%d\r\nX-Class: saldo\r\nX-Deadline: 60\r\n\r\n", i)
+	}
+	return b.String()
+}
+
+type clientResponse struct {
+	status int
+	header http.Header
+	body   string
+}
+
+func sendRequest(t *testing.T, req *http.Request) clientResponse {
+	t.Helper()
+	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * testTimeout}
+	resp, err := c.Do(req)
+	if err != nil {
+		t.Error(err)
+		return clientResponse{}
+	}
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Error(err)
+	}
+	return clientResponse{resp.StatusCode, resp.Header, string(body)}
+}
--- /dev/null
+++ b/internal/node/testdiscovery_test.go
@@ -0,0 +1,64 @@
+package node
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+)
+
+// listServer is a discovery with one list, which it gives to who has another
+// version; watches on it hang. watched gets a value when one begins, gone when it ends.
+func discoveryServer(t *testing.T, index int, entries ...string) (address string, watched, gone chan bool) {
+	t.Helper()
+	watched, gone = make(chan bool, 100), make(chan bool, 100)
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Query().Get("from") == fmt.Sprint(index) {
+			watched <- true
+			<-r.Context().Done()
+			gone <- true
+			return
+		}
+		fmt.Fprintf(w, `{"index":%d,"snapshot":true,"endpoints":[%s]}`, index, strings.Join(entries, ","))
+	}))
+	t.Cleanup(s.CloseClientConnections)
+	return s.Listener.Addr().String(), watched, gone
+}
+
+func endpointJSON(name, address, status string) string {
+	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m2","group":3,"status":%q,"weight":1.5,"since_ms":7}`, name, address, status)
+}
+
+// boundPort is a port of the loopback address that refuses connections until
+// listen is called.
+func boundPort(t *testing.T) (address string, listen func() net.Listener) {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := os.NewFile(uintptr(fd), "bound")
+	t.Cleanup(func() { f.Close() })
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	sa, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fmt.Sprintf("127.0.0.1:%d", sa.(*syscall.SockaddrInet4).Port), func() net.Listener {
+		if err := syscall.Listen(fd, 128); err != nil {
+			t.Fatal(err)
+		}
+		ln, err := net.FileListener(f)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { ln.Close() })
+		return ln
+	}
+}
