--- /dev/null
+++ b/cmd/bankshift/environment_test.go
@@ -0,0 +1,87 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+)
+
+// noEndpoints is an endpoint list without entries.
+const noEndpoints = `{"index":0,"snapshot":true,"endpoints":[]}`
+
+// environment is what a process is started beside: a discovery that can be out of
+// order, and a backend.
+type environment struct {
+	discovery   string      // address
+	backend     string      // address
+	endpoints   string      // the list of discovery
+	discoveryUp atomic.Bool // false: discovery accepts connections and never answers
+}
+
+// newEnvironment starts an environment with so many entries in the endpoint list,
+// all of them the one backend. Discovery is not up yet.
+func newEnvironment(t *testing.T, entries int) *environment {
+	t.Helper()
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		io.Copy(io.Discard, r.Body)
+		io.WriteString(w, "hi")
+	}))
+	t.Cleanup(backend.Close)
+	e := &environment{backend: backend.Listener.Addr().String()}
+	e.endpoints = e.endpointList(entries)
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if !e.discoveryUp.Load() || r.URL.Query().Get("from") == "7" {
+			<-r.Context().Done()
+			return
+		}
+		io.WriteString(w, e.endpoints)
+	}))
+	t.Cleanup(discovery.CloseClientConnections)
+	e.discovery = discovery.Listener.Addr().String()
+	return e
+}
+
+// endpointList returns an endpoint list of version 7.
+func (e *environment) endpointList(count int) string {
+	entries := make([]string, count)
+	for i := range entries {
+		entries[i] = fmt.Sprintf(`{"name":"s-%08x","address":%q,"zone":"a","type":"m2","group":%d,"status":"ready","weight":1.0,"since_ms":1700000000000}`,
+			i, e.backend, i%40)
+	}
+	return `{"index":7,"snapshot":true,"endpoints":[` + strings.Join(entries, ",") + `]}`
+}
+
+// freeAddress returns an address on which nothing listens.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	return ln.Addr().String()
+}
+
+// refusingAddress returns an address that stays taken and refuses connections.
+func refusingAddress(t *testing.T) string {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { syscall.Close(fd) })
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	sa, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fmt.Sprintf("127.0.0.1:%d", sa.(*syscall.SockaddrInet4).Port)
+}
--- a/cmd/bankshift/log_test.go
+++ b/cmd/bankshift/log_test.go
@@ -3,18 +3,17 @@
 import (
 	"fmt"
 	"os"
-	"strings"
 	"syscall"
 	"testing"
 	"time"
 )
 
-// TestLogIsNotReadAnyMore: whoever reads the log has gone. That is no reason to end.
+// TestLogIsNotReadAnyMore: whoever reads the log has gone. The program goes on.
 func TestLogIsNotReadAnyMore(t *testing.T) {
-	st := newStand(t, 1)
-	st.answers.Store(true)
+	env := newEnvironment(t, 1)
+	env.discoveryUp.Store(true)
 	listen := freeAddress(t)
-	cmd := program(t, fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","settings":{},"known":%s}`, listen, st.discovery, st.whole))
+	cmd := newProgram(t, fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","settings":{},"known":%s}`, listen, env.discovery, env.endpoints))
 	read, write, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -26,27 +25,24 @@
 	defer cmd.Process.Kill()
 	write.Close()
 	read.Close()
-	p := &started{address: listen, ended: make(chan struct{})}
+	p := &process{address: listen, ended: make(chan struct{})}
 	go func() {
 		cmd.Wait()
 		close(p.ended)
 	}()
-	if !p.ready(t, readyTime) {
+	if !p.awaitReady(t, readyLimit) {
 		t.Fatal("not ready")
 	}
-	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "GW_CONFIG=")
-	if err := os.Remove(path); err != nil {
+	if err := os.Remove(configPath(cmd)); err != nil {
 		t.Fatal(err)
 	}
-	for range 3 { // each is logged, as the file can't be read
-		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
-			t.Fatal(err)
-		}
+	for range 3 { // each is logged, as the file cannot be read
+		mustSignal(t, cmd, syscall.SIGHUP)
 		for range 15 {
-			if !p.ready(t, readyTime) { // fails where the program has ended
+			if !p.awaitReady(t, readyLimit) { // fails if the program has ended
 				t.Fatal("not ready any more")
 			}
-			time.Sleep(50 * time.Millisecond) // it reads the file for 0.45 s
+			time.Sleep(50 * time.Millisecond) // it tries to read the file for 0.45 s
 		}
 	}
 }
--- a/cmd/bankshift/main.go
+++ b/cmd/bankshift/main.go
@@ -1,6 +1,6 @@
-// Command bankshift is one load-balancing proxy node. It reads the file that
-// GW_CONFIG names, serves until SIGTERM or SIGINT, finishes what is open and
-// exits with 0. On SIGHUP it reads the file again.
+// Command bankshift is one load-balancing proxy node. It reads the configuration
+// file that GW_CONFIG names, serves until SIGTERM or SIGINT, finishes the open
+// requests and exits with status 0. On SIGHUP it reloads the file.
 package main
 
 import (
@@ -16,6 +16,13 @@
 	"bankshift/internal/node"
 )
 
+// A file that is being replaced while it is read is complete soon after. The
+// endpoints of the new discovery have to be known 4 s after SIGHUP.
+const (
+	maxLoadAttempts   = 10
+	loadRetryInterval = 50 * time.Millisecond
+)
+
 func main() {
 	if err := run(); err != nil {
 		fmt.Fprintln(os.Stderr, "bankshift:", err)
@@ -23,54 +30,59 @@
 	}
 }
 
-// A file that is being replaced just as it is read is whole soon after. What
-// the new discovery has to tell counts from 4 s after SIGHUP on.
-const (
-	rereadTries = 10
-	rereadWait  = 50 * time.Millisecond
-)
-
-// reread reads the configuration again, after a wait where it cannot be used.
-func reread(path string, wait func()) (node.Config, error) {
-	cfg, err := node.LoadConfig(path)
-	for tries := 1; err != nil && tries < rereadTries; tries++ {
-		wait()
-		cfg, err = node.LoadConfig(path)
-	}
-	return cfg, err
-}
-
 func run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more is no reason to end
-	// Caught from here to the end: by itself the signal would end the process.
+	signal.Ignore(syscall.SIGPIPE) // the node goes on when nobody reads its log any more
+	// Registered before anything else and never released: by default SIGHUP would
+	// end the process.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
+
 	path := os.Getenv("GW_CONFIG")
 	cfg, err := node.LoadConfig(path)
 	if err != nil {
 		return err
 	}
-	// The collector works harder well before the machine's limit kills the node.
-	debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4)
+	setMemoryLimit(cfg.MemoryMB)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("node", cfg.Name)
 	ln, err := node.Listen(ctx, cfg.Listen, log)
-	switch {
-	case ctx.Err() != nil:
-		return nil // told to stop before it served
-	case err != nil:
+	if ctx.Err() != nil {
+		return nil // ordered to stop before it served
+	}
+	if err != nil {
 		return err
 	}
 	n := node.New(cfg, log)
-	go func() {
-		for range reload {
-			if cfg, err := reread(path, func() { time.Sleep(rereadWait) }); err != nil {
-				log.Error("not reloaded, the configuration before stays in force", "err", err)
-			} else {
-				n.Reload(cfg)
-			}
-		}
-	}()
+	go reloadOnSignal(reload, path, n, log)
 	return n.Run(ctx, ln)
 }
+
+// setMemoryLimit has the garbage collector work harder well before the machine's
+// limit, which would kill the node.
+func setMemoryLimit(memoryMB int) {
+	debug.SetMemoryLimit(int64(memoryMB) << 20 * 3 / 4)
+}
+
+// reloadOnSignal reloads the node's configuration for each signal, for ever.
+func reloadOnSignal(signals <-chan os.Signal, path string, n *node.Node, log *slog.Logger) {
+	for range signals {
+		cfg, err := loadConfigRetrying(path, func() { time.Sleep(loadRetryInterval) })
+		if err != nil {
+			log.Error("not reloaded, the previous configuration stays in force", "err", err)
+			continue
+		}
+		n.Reload(cfg)
+	}
+}
+
+// loadConfigRetrying loads the configuration, again after a wait while it is
+// invalid.
+func loadConfigRetrying(path string, wait func()) (node.Config, error) {
+	cfg, err := node.LoadConfig(path)
+	for attempt := 1; err != nil && attempt < maxLoadAttempts; attempt++ {
+		wait()
+		cfg, err = node.LoadConfig(path)
+	}
+	return cfg, err
+}
--- a/cmd/bankshift/main_test.go
+++ b/cmd/bankshift/main_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"os"
@@ -14,51 +15,53 @@
 	"time"
 )
 
-// TestMain runs the program itself where a test has started it anew.
-func TestMain(m *testing.M) {
-	if os.Getenv("INDIGOTACK_AS_PROGRAM") == "1" {
-		main()
-		return
+func TestBadConfigIsOneLineAndNonZero(t *testing.T) {
+	out, err := newProgram(t, `{"settings":{}}`).CombinedOutput()
+	if _, ok := err.(*exec.ExitError); !ok || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "listen") {
+		t.Errorf("ends with %v and prints %q, want a non-zero status and one line on listen", err, out)
 	}
-	os.Exit(m.Run())
 }
 
-func program(t *testing.T, config string) *exec.Cmd {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "INDIGOTACK_AS_PROGRAM=1", "GW_CONFIG="+path)
-	return cmd
+// logLines returns the lines of a program's log. The channel is closed at their
+// end.
+func logLines(log io.Reader) <-chan string {
+	lines := make(chan string, 1000)
+	go func() {
+		defer close(lines)
+		for scanner := bufio.NewScanner(log); scanner.Scan(); {
+			lines <- scanner.Text()
+		}
+	}()
+	return lines
 }
 
-func TestBadConfigIsOneLineAndNonZero(t *testing.T) {
-	out, err := program(t, `{"settings":{}}`).CombinedOutput()
-	if _, ok := err.(*exec.ExitError); !ok || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "listen") {
-		t.Errorf("ends with %v and says %q, want a non-zero status and one line on listen", err, out)
+// awaitLog waits for a line of the log that contains text.
+func awaitLog(t *testing.T, lines <-chan string, text string) {
+	t.Helper()
+	timeout := time.After(30 * time.Second)
+	for {
+		select {
+		case line, open := <-lines:
+			if strings.Contains(line, text) {
+				return
+			}
+			if !open {
+				t.Fatalf("the program ends and has not logged %q", text)
+			}
+		case <-timeout:
+			t.Fatalf("the program does not log %q", text)
+		}
 	}
 }
 
-// TestServesUntilSIGTERM: SIGHUP in between reloads; a configuration that is
-// bad is logged, and neither ends the program.
+// TestServesUntilSIGTERM: SIGHUP reloads the configuration in between, and a bad
+// one is logged. Neither ends the program.
 func TestServesUntilSIGTERM(t *testing.T) {
-	var free [3]string
-	for i := range free {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer ln.Close()
-		free[i] = ln.Addr().String()
-		if i == 0 {
-			ln.Close()
-		}
-	}
+	listen := freeAddress(t)
+	discoveries := [2]string{silentAddress(t), silentAddress(t)}
 	config := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","settings":{},
-		"known":{"index":1,"endpoints":[{"name":"s","address":%q,"status":"ready"}]}}`, free[0], free[1], free[1])
-	cmd := program(t, config)
+		"known":{"index":1,"endpoints":[{"name":"s","address":%q,"status":"ready"}]}}`, listen, discoveries[0], discoveries[0])
+	cmd := newProgram(t, config)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -67,98 +70,78 @@
 		t.Fatal(err)
 	}
 	defer cmd.Process.Kill()
-	said := make(chan string, 1000)
-	go func() {
-		defer close(said)
-		for lines := bufio.NewScanner(stderr); lines.Scan(); {
-			said <- lines.Text()
-		}
-	}()
-	ready := func() bool {
-		resp, err := http.Get("http://" + free[0] + "/health/ready")
-		if err != nil {
-			return false
-		}
-		resp.Body.Close()
-		return resp.StatusCode == http.StatusOK
-	}
-	for until := time.Now().Add(30 * time.Second); !ready(); time.Sleep(5 * time.Millisecond) {
+	lines := logLines(stderr)
+	for until := time.Now().Add(30 * time.Second); !isReady(http.DefaultClient, listen); time.Sleep(5 * time.Millisecond) {
 		select {
-		case line, open := <-said:
+		case line, open := <-lines:
 			if !open {
 				t.Fatal("the program ends")
 			}
-			t.Logf("the program says %q", line)
+			t.Logf("the program logs %q", line)
 		default:
 		}
 		if time.Now().After(until) {
 			t.Fatal("the program does not get ready")
 		}
 	}
-	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "GW_CONFIG=")
 	for _, c := range []struct{ config, logged string }{
-		{strings.Replace(config, free[1], free[2], 1), "discovery has moved"},
+		{strings.Replace(config, discoveries[0], discoveries[1], 1), "discovery has moved"},
 		{"{", "not reloaded"},
 	} {
-		if err := os.WriteFile(path, []byte(c.config), 0o600); err != nil {
+		if err := os.WriteFile(configPath(cmd), []byte(c.config), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
-			t.Fatal(err)
-		}
-		for timeout := time.After(30 * time.Second); ; {
-			select {
-			case line, open := <-said:
-				if strings.Contains(line, c.logged) {
-					break
-				}
-				if !open {
-					t.Fatalf("the program ends and has not said %q", c.logged)
-				}
-				continue
-			case <-timeout:
-				t.Fatalf("the program does not say %q", c.logged)
-			}
-			break
-		}
+		mustSignal(t, cmd, syscall.SIGHUP)
+		awaitLog(t, lines, c.logged)
 	}
-	if !ready() {
+	if !isReady(http.DefaultClient, listen) {
 		t.Error("not ready after two reloads")
 	}
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
+	mustSignal(t, cmd, syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("after SIGTERM it ends with %v, want status 0", err)
 	}
 }
 
-// TestRereadWaitsForTheWholeFile: SIGHUP may come while the file is being
-// replaced; a file that stays bad is given up.
-func TestRereadWaitsForTheWholeFile(t *testing.T) {
+// silentAddress returns an address that takes connections and never answers.
+func silentAddress(t *testing.T) string {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	return ln.Addr().String()
+}
+
+// TestLoadRetriesWhileTheFileIsReplaced: SIGHUP may come while the file is being
+// replaced. A file that stays bad is given up.
+func TestLoadRetriesWhileTheFileIsReplaced(t *testing.T) {
 	const config = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1f","settings":{}}`
 	path := filepath.Join(t.TempDir(), "config.json")
-	put := func(text string) {
+	write := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	put(config[:30])
+	write(config[:30])
 	waits := 0
-	cfg, err := reread(path, func() {
-		if waits++; waits == 1 {
+	cfg, err := loadConfigRetrying(path, func() {
+		waits++
+		switch waits {
+		case 1:
 			os.Remove(path)
-		} else if waits == 2 {
-			put(config)
+		case 2:
+			write(config)
 		}
 	})
 	if err != nil || cfg.Discovery != "127.0.0.1:2" || waits != 2 {
 		t.Errorf("%+v, %v after %d waits", cfg, err, waits)
 	}
-	put("{")
+	write("{")
 	waits = 0
-	if _, err := reread(path, func() { waits++ }); err == nil || waits == 0 || waits > 20 {
+	if _, err := loadConfigRetrying(path, func() { waits++ }); err == nil || waits == 0 || waits > 20 {
 		t.Errorf("a bad file: %v after %d waits", err, waits)
 	}
 }
--- /dev/null
+++ b/cmd/bankshift/soak_client_test.go
@@ -0,0 +1,209 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+var (
+	errNoNewConnections = errors.New("the load balancer in front sends no new connections any more")
+	errClientLeft       = errors.New("the client has left")
+	errAskedToClose     = errors.New("the node has asked to close")
+)
+
+// soakClient sends one request after the other on a connection that it keeps.
+type soakClient struct {
+	*soakRun
+	address string
+	conn    *net.TCPConn // nil: not connected
+	read    *bufio.Reader
+}
+
+func (c *soakClient) connect() error {
+	allowed := true
+	c.locked(func() {
+		allowed = !c.over && (c.stopOrderedAt.IsZero() || time.Since(c.stopOrderedAt) < lateConnectTime)
+	})
+	if !allowed {
+		return errNoNewConnections
+	}
+	conn, err := net.Dial("tcp", c.address)
+	if err != nil {
+		return err
+	}
+	c.conn = conn.(*net.TCPConn)
+	c.read = bufio.NewReader(conn)
+	return nil
+}
+
+func (c *soakClient) close() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
+	}
+}
+
+// run sends requests until the node is gone.
+func (c *soakClient) run(number int) {
+	defer c.close()
+	for k := 0; ; k++ {
+		id := fmt.Sprintf("%d-%d-%d", c.seed, number, k)
+		if !c.request(id) {
+			return
+		}
+		pause := c.drawMilliseconds(60)
+		if c.draw(40) == 0 {
+			pause = time.Duration(2500+c.draw(600)) * time.Millisecond // crosses the close of an idle connection
+		}
+		time.Sleep(pause)
+	}
+}
+
+// request sends one request, again where that is allowed, until it is answered or
+// given up. It reports whether to go on with further requests.
+func (c *soakClient) request(id string) bool {
+	class := soakClasses[c.draw(len(soakClasses))]
+	deadline := c.longestDeadline * time.Duration(40+c.draw(61)) / 100
+	r := &soakRequest{class: class, deadline: deadline}
+	began := time.Now()
+	for try := 0; ; try++ {
+		if c.conn == nil {
+			if err := c.connect(); err != nil {
+				return !errors.Is(err, errNoNewConnections) && c.pauseBeforeReconnect()
+			}
+		}
+		done, err := c.exchange(id, r)
+		if err == nil {
+			return true
+		}
+		c.close()
+		if done || c.isLost(id, r, try, began, err) {
+			return true
+		}
+	}
+}
+
+// isLost reports whether a request without a response must not be sent again. That
+// is a violation, unless the run is over.
+func (c *soakClient) isLost(id string, r *soakRequest, try int, began time.Time, err error) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	lost := len(r.attempts) > 0 || try > 0 || c.lostToKill(r)
+	if lost && !c.over {
+		c.violation("%s (%s): no response after %v of %v (try %d, %d attempts): %v; %v after SIGTERM", id, r.class,
+			time.Since(began), r.deadline, try, len(r.attempts), err, c.sinceStopOrder())
+	}
+	return lost
+}
+
+// lostToKill reports whether SIGKILL came while a request was unanswered that was
+// sent so late that a node may not lose it. The caller holds s.mu.
+func (s *soakRun) lostToKill(r *soakRequest) bool {
+	return !s.killedAt.IsZero() && !r.sentAt.IsZero() && r.sentAt.Before(s.killedAt) && r.sentAt.Sub(s.stopOrderedAt) > killSlack
+}
+
+// sinceStopOrder returns the time since SIGTERM. The caller holds s.mu.
+func (s *soakRun) sinceStopOrder() time.Duration {
+	if s.stopOrderedAt.IsZero() {
+		return 0
+	}
+	return time.Since(s.stopOrderedAt)
+}
+
+// pauseBeforeReconnect waits before the next connection and reports whether the
+// run goes on.
+func (c *soakClient) pauseBeforeReconnect() (goOn bool) {
+	time.Sleep(5 * time.Millisecond)
+	c.locked(func() { goOn = !c.over })
+	return goOn
+}
+
+// exchange sends a request and reads its response. It reports whether the request
+// is done, which it is also when the client leaves. With an error the connection
+// has to be closed.
+func (c *soakClient) exchange(id string, r *soakRequest) (done bool, err error) {
+	text := soakRequestText(id, r)
+	if c.draw(4) == 0 { // slowly
+		half := 1 + c.draw(len(text)-1)
+		if _, err := io.WriteString(c.conn, text[:half]); err != nil {
+			return false, err
+		}
+		time.Sleep(c.drawMilliseconds(30))
+		text = text[half:]
+	}
+	c.locked(func() {
+		c.requests[id] = r
+		r.sentAt = time.Time{}
+		c.counts["requests"]++
+	})
+	if _, err := io.WriteString(c.conn, text); err != nil {
+		return false, err
+	}
+	c.locked(func() { r.sentAt = time.Now() })
+	if c.draw(c.leavingOneIn) == 0 {
+		time.Sleep(time.Duration(c.draw(int(r.deadline / 4))))
+		c.locked(func() { r.leftAt = time.Now() })
+		return true, errClientLeft
+	}
+	return c.readResponse(id, r)
+}
+
+// soakRequestText returns a request as it is sent.
+func soakRequestText(id string, r *soakRequest) string {
+	method, key := "POST", ""
+	switch r.class {
+	case "retryable":
+		method = "GET"
+	case "dedup":
+		key = "Idempotency-Key: k" + id + "\r\n"
+	}
+	text := fmt.Sprintf("%s /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline: %.3f\r\n%s", method, id,
+		r.class, r.deadline.Seconds(), key)
+	if method == "GET" {
+		return text + "\r\n"
+	}
+	return text + "Content-Length: 4\r\n\r\nbody"
+}
+
+// readResponse reads and checks a response. The results are those of exchange.
+func (c *soakClient) readResponse(id string, r *soakRequest) (done bool, err error) {
+	c.conn.SetReadDeadline(r.sentAt.Add(r.deadline + responseSlack))
+	resp, err := http.ReadResponse(c.read, nil)
+	if err != nil {
+		return false, err
+	}
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return false, err
+	}
+	c.locked(func() { c.checkResponse(id, r, resp.StatusCode, string(body)) })
+	if resp.Close {
+		return true, errAskedToClose
+	}
+	return true, nil
+}
+
+// checkResponse counts a response and checks it against the rules. The caller
+// holds c.mu.
+func (c *soakClient) checkResponse(id string, r *soakRequest, status int, body string) {
+	c.counts[strconv.Itoa(status)]++
+	if status == http.StatusOK && body != id {
+		c.violation("%s: answered with %q", id, body)
+	}
+	if status == http.StatusServiceUnavailable && r.class == "fragile" {
+		for _, a := range r.attempts {
+			if !a.rejected {
+				c.violation("%s: rejected, though it may have run", id)
+			}
+		}
+	}
+	if c.read.Buffered() > 0 {
+		c.violation("%s: more than one response", id)
+	}
+}
--- /dev/null
+++ b/cmd/bankshift/soak_delay_test.go
@@ -0,0 +1,104 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+)
+
+// watchStalls measures, until done is closed, for how long this process is kept
+// from running: its own time stamps are late by that. It also reads the node's
+// scheduling delay.
+func (s *soakRun) watchStalls(done <-chan struct{}) {
+	const step = 5 * time.Millisecond
+	const decay = 0.995 // of the longest stall at each step: it halves in 0.7 s
+	const stepsPerReading = 10
+	for i := 0; ; i++ {
+		select {
+		case <-time.After(step):
+		case <-done:
+			return
+		}
+		s.locked(func() {
+			now := time.Now()
+			if !s.lastTick.IsZero() {
+				s.longestStall = max(now.Sub(s.lastTick)-step, time.Duration(decay*float64(s.longestStall)))
+			}
+			s.lastTick = now
+			if i%stepsPerReading == 0 && s.nodeDelay.pid > 0 {
+				s.nodeDelay.read(now)
+			}
+		})
+	}
+}
+
+// timingError returns by how much this process's time stamps may be late. The
+// caller holds s.mu.
+func (s *soakRun) timingError() time.Duration {
+	if s.lastTick.IsZero() {
+		return 0
+	}
+	return max(s.longestStall, time.Since(s.lastTick))
+}
+
+// schedulingDelay is how long the threads of a process have waited for a
+// processor, by /proc/PID/task/TID/schedstat.
+type schedulingDelay struct {
+	pid     int
+	threads map[string]time.Duration // each thread's total when it was last read, by file
+	recent  []delayReading
+}
+
+// delayReading is the longest wait of one thread since the reading before.
+type delayReading struct {
+	at      time.Time
+	longest time.Duration
+}
+
+// recentDelayTime is how far back readings count.
+const recentDelayTime = 2 * time.Second
+
+// read adds a reading.
+func (d *schedulingDelay) read(now time.Time) {
+	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", d.pid)) // fails on bad patterns only
+	longest := time.Duration(0)
+	for _, file := range files {
+		total, ok := readSchedstat(file)
+		if !ok {
+			continue // the thread has ended
+		}
+		if before, known := d.threads[file]; known {
+			longest = max(longest, total-before)
+		}
+		d.threads[file] = total
+	}
+	d.recent = append(d.recent, delayReading{now, longest})
+	for now.Sub(d.recent[0].at) > recentDelayTime {
+		d.recent = d.recent[1:]
+	}
+}
+
+// readSchedstat returns how long a thread has waited for a processor in all.
+func readSchedstat(file string) (waited time.Duration, ok bool) {
+	raw, err := os.ReadFile(file)
+	if err != nil {
+		return 0, false
+	}
+	var ran, waitedNS, slices int64
+	if _, err := fmt.Sscan(string(raw), &ran, &waitedNS, &slices); err != nil {
+		return 0, false
+	}
+	return time.Duration(waitedNS), true
+}
+
+// longestRecent returns the longest wait of one thread between two readings in
+// the last two seconds.
+func (d *schedulingDelay) longestRecent(now time.Time) (longest time.Duration) {
+	for _, r := range d.recent {
+		if now.Sub(r.at) < recentDelayTime {
+			longest = max(longest, r.longest)
+		}
+	}
+	return longest
+}
--- /dev/null
+++ b/cmd/bankshift/soak_events_test.go
@@ -0,0 +1,89 @@
+package main
+
+import (
+	"net"
+	"os"
+	"os/exec"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// holdUpNode stops the process for moments until the run's end.
+func (s *soakRun) holdUpNode(cmd *exec.Cmd) {
+	for over := false; !over; {
+		time.Sleep(time.Duration(100+s.draw(400)) * time.Millisecond)
+		cmd.Process.Signal(syscall.SIGSTOP) // fails only once it has ended
+		time.Sleep(holdUpTime - 10*time.Millisecond)
+		cmd.Process.Signal(syscall.SIGCONT)
+		s.locked(func() { over = s.over })
+	}
+}
+
+// disturbNode brings about the events of a run, in order, up to the signals after
+// SIGTERM.
+func (s *soakRun) disturbNode(t *testing.T, cmd *exec.Cmd, listen string) {
+	t.Helper()
+	time.Sleep(time.Second + s.drawMilliseconds(500))
+	for range s.draw(3) {
+		s.moveDiscovery(t, cmd, listen)
+		time.Sleep(s.drawMilliseconds(300))
+	}
+	if s.silentDiscovery {
+		s.locked(func() { s.discoveryBackAt = time.Now().Add(time.Duration(300+s.rng.Intn(1200)) * time.Millisecond) })
+		time.Sleep(s.drawMilliseconds(300))
+	}
+	s.drain(s.draw(len(s.backends)))
+	if s.crowd {
+		s.connectCrowd(t, listen)
+	}
+	time.Sleep(s.drawMilliseconds(2500))
+	s.locked(func() { s.stopOrderedAt = time.Now() })
+	sendSignal(t, cmd, syscall.SIGTERM)
+	for range s.draw(3) {
+		time.Sleep(s.drawMilliseconds(100))
+		sendSignal(t, cmd, []os.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT}[s.draw(3)])
+	}
+}
+
+func sendSignal(t *testing.T, cmd *exec.Cmd, signal os.Signal) {
+	t.Helper()
+	if err := cmd.Process.Signal(signal); err != nil {
+		t.Errorf("%v: %v", signal, err)
+	}
+}
+
+// moveDiscovery starts one more discovery and has the node reload a configuration
+// with its address.
+func (s *soakRun) moveDiscovery(t *testing.T, cmd *exec.Cmd, listen string) {
+	t.Helper()
+	replaceFile(t, configPath(cmd), s.config(listen, s.startDiscovery(t)))
+	s.locked(func() { s.reloadedAt = time.Now() })
+	sendSignal(t, cmd, syscall.SIGHUP)
+}
+
+// replaceFile replaces a file by renaming, so that a reader finds the old text or
+// the new one.
+func replaceFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(path+".new", path); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// connectCrowd opens connections that carry nothing, and closes each after a
+// while.
+func (s *soakRun) connectCrowd(t *testing.T, address string) {
+	t.Helper()
+	for range 300 {
+		c, err := net.Dial("tcp", address)
+		if err != nil {
+			t.Errorf("a client of the crowd: %v", err)
+			break
+		}
+		time.AfterFunc(s.drawMilliseconds(3000), func() { c.Close() })
+	}
+}
