--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"bankshift/balancer"
 	"bufio"
 	"fmt"
 	"io"
@@ -12,10 +11,12 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"bankshift/balancer"
 )
 
-// TestTornAnswerIsAFailedAttempt: a break in the middle of a body must reach
-// no client; another server serves it.
+// TestIncompleteResponseIsRetried: a response that breaks off in its body must
+// not reach the client. Another backend serves the request.
 func TestIncompleteResponseIsRetried(t *testing.T) {
 	var number atomic.Int32
 	serve := func(_ int, c net.Conn, r *bufio.Reader) {
@@ -28,14 +29,14 @@
 		}
 		io.WriteString(c, okResponse)
 	}
-	n := startNode(t, backendServer(t, serve), backendServer(t, serve))
+	n := startNode(t, startBackend(t, serve), startBackend(t, serve))
 	if got := sendRequest(t, n.request(t, "GET", "saldo", "q", "20", nil)); got.status != 200 || got.body != "hi" || number.Load() != 2 {
-		t.Errorf("answer %+v after %d attempts", got, number.Load())
+		t.Errorf("response %+v after %d attempts", got, number.Load())
 	}
 }
 
-// TestUnsafeIsNotResent: after a break it may have run, and a refusal would
-// tell the client that another try does no harm.
+// TestNotIdempotentIsNotResent: the request may have run before its connection
+// broke, and a rejection would tell the client that a repetition is safe.
 func TestNotIdempotentIsNotResent(t *testing.T) {
 	var number atomic.Int32
 	serve := func(_ int, c net.Conn, r *bufio.Reader) {
@@ -43,20 +44,20 @@
 			number.Add(1)
 		}
 	}
-	n := startNode(t, backendServer(t, serve), backendServer(t, serve))
+	n := startNode(t, startBackend(t, serve), startBackend(t, serve))
 	got := sendRequest(t, n.request(t, "POST", "pagar", "q", "20", strings.NewReader("x")))
 	if got.status != http.StatusBadGateway || number.Load() != 1 {
-		t.Errorf("answer %+v after %d attempts, want a failure after one", got, number.Load())
+		t.Errorf("response %+v after %d attempts, want a failure after one", got, number.Load())
 	}
 }
 
-// TestTimeToldIsLeft: a connection that comes up late takes from the time that
-// its request tells, which is never more than is left to the client and to the
-// attempt.
+// TestDeadlineSentIsTimeLeft: a connection that comes up late takes from the
+// deadline that is sent with a request, which is never more than what is left
+// to the client and to the attempt.
 func TestDeadlineSentIsTimeLeft(t *testing.T) {
-	const patience = 2 * testTimeout
+	const clientTimeout = 2 * testTimeout
 	requests := make(chan *http.Request, 10)
-	release := make(chan string, 1) // takes the answer to a request
+	release := make(chan string, 1) // the response to the next request
 	serve := func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			req := readRequest(r)
@@ -67,27 +68,27 @@
 			io.WriteString(c, <-release)
 		}
 	}
-	n := startNodeWith(t, func(s *balancer.Settings) { s.HedgingAllowed, s.ConnectTimeout = true, patience },
-		backendServer(t, serve), backendServer(t, serve), backendServer(t, serve))
+	n := startNodeWith(t, func(s *balancer.Settings) { s.HedgingAllowed, s.ConnectTimeout = true, clientTimeout },
+		startBackend(t, serve), startBackend(t, serve), startBackend(t, serve))
 	begun, up := blockDials(n.dials)
 	c := n.dial(t)
-	c.sendGet(t, "saldo", "q", strconv.FormatFloat(patience.Seconds(), 'f', 3, 64))
+	c.sendGet(t, "saldo", "q", strconv.FormatFloat(clientTimeout.Seconds(), 'f', 3, 64))
 	receive(t, begun, "the first connection")
-	read := time.Now() // or earlier
-	check := func(name string, most time.Duration, from time.Time) {
+	receivedAt := time.Now() // or earlier
+	check := func(name string, timeout time.Duration, from time.Time) {
 		t.Helper()
 		delayVisibly()
-		left := most - time.Since(from) // when the first byte leaves there is less
+		left := timeout - time.Since(from) // less when the first byte is sent
 		up <- struct{}{}
 		if d := deadlineOf(t, receive(t, requests, "the attempt")); d > left {
-			t.Errorf("%s attempt: told %v, and at most %v was left", name, d, left)
+			t.Errorf("%s attempt: sent with a deadline of %v, and at most %v was left", name, d, left)
 		}
 	}
-	check("the first", patience, read)
+	check("the first", clientTimeout, receivedAt)
 	release <- "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	receive(t, begun, "the second connection")
-	check("a further", patience, read)
-	for name, timeout := range map[string]time.Duration{"a short": testTimeout, "a long": 2 * patience} {
+	check("a further", clientTimeout, receivedAt)
+	for name, timeout := range map[string]time.Duration{"a short": testTimeout, "a long": 2 * clientTimeout} {
 		sent := make(chan time.Time, 1)
 		n.post(func() {
 			id, _ := n.directory.ID("s-2")
@@ -96,19 +97,20 @@
 		})
 		receive(t, begun, "the connection of "+name+" attempt")
 		at := receive(t, sent, "the decision")
-		if timeout > patience {
-			timeout, at = patience, read
+		if timeout > clientTimeout {
+			timeout, at = clientTimeout, receivedAt
 		}
 		check(name, timeout, at)
 	}
 }
 
-// TestClockOfTheClientRuns while the rest of its request comes, and while the
-// request waits behind another one of the same connection.
+// TestClientTimeoutStartsAtArrival: a client's timeout runs while the rest of
+// its request is received, and while the request waits behind another one on
+// the same connection.
 func TestClientTimeoutStartsAtArrival(t *testing.T) {
 	const post = "POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: pagar\r\nX-Deadline: %v\r\nContent-Length: 4\r\n\r\n"
 	requests, release := make(chan *http.Request, 2), make(chan bool)
-	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			req := readRequest(r)
 			if req == nil {
@@ -122,7 +124,7 @@
 	check := func(name string, left time.Duration) {
 		t.Helper()
 		if d := deadlineOf(t, receive(t, requests, name)); d > left {
-			t.Errorf("%s: told %v, and at most %v was left", name, d, left)
+			t.Errorf("%s: sent with a deadline of %v, and at most %v was left", name, d, left)
 		}
 	}
 	t.Run("slow body", func(t *testing.T) {
@@ -137,14 +139,14 @@
 		check("the request", left)
 		release <- true
 		if s := c.status(t); s != 200 {
-			t.Errorf("answer %d", s)
+			t.Errorf("status %d", s)
 		}
 	})
 	t.Run("behind another", func(t *testing.T) {
 		c := n.dial(t)
 		fmt.Fprintf(c, post+"body"+post+"body", "first", testTimeout.Seconds(), "second", testTimeout.Seconds())
 		check("the first", testTimeout)
-		read := time.Now() // both came at once
+		read := time.Now() // both arrived at once
 		delayVisibly()
 		left := testTimeout - time.Since(read)
 		release <- true
@@ -152,17 +154,18 @@
 		release <- true
 		for range 2 {
 			if s := c.status(t); s != 200 {
-				t.Errorf("answer %d", s)
+				t.Errorf("status %d", s)
 			}
 		}
 	})
 }
 
-// TestWindowEndsWhileDialling: a keyed request may go out again for as long as
-// its servers drop repeats, and no longer, however late its connection comes up.
+// TestDeduplicationWindowEndsWhileDialing: a request with a key may be sent
+// again only while backends drop repetitions, however late its connection comes
+// up.
 func TestDeduplicationWindowEndsWhileDialing(t *testing.T) {
-	silent, got, _ := stallingServer(t)
-	n := startNodeWith(t, func(s *balancer.Settings) { s.HedgingAllowed, s.ConnectTimeout = true, 3*testTimeout }, silent)
+	backend, got, _ := startStallingBackend(t)
+	n := startNodeWith(t, func(s *balancer.Settings) { s.HedgingAllowed, s.ConnectTimeout = true, 3*testTimeout }, backend)
 	begun, release := blockDials(n.dials)
 	release <- struct{}{} // for the first one
 	c := n.dial(t)
@@ -174,17 +177,13 @@
 		n.startAttempt(balancer.Send{ID: "q", Endpoint: id, StartWithin: time.Millisecond})
 	})
 	receive(t, begun, "the connection to begin")
-	for until := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+	waitUntil(t, "the end of the attempt that waits for its connection", func() bool {
 		running := make(chan int, 1)
 		n.post(func() { running <- n.requests["q"].runningAttempts })
-		if k := receive(t, running, "the loop"); k == 1 {
-			break
-		} else if time.Now().After(until) {
-			t.Fatal("the attempt waits on for its connection")
-		}
-	}
+		return receive(t, running, "the loop") == 1
+	})
 	close(release)
 	if len(got) > 0 {
-		t.Error("the request was sent again after its window")
+		t.Error("the request was sent again after the window")
 	}
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -17,6 +18,7 @@
 "settings":{"balancers":5,"slot_no":3,"caps":{"connect_timeout_ns":120000000,"max_attempts":4},
 "classes":[{"name":"saldo","effect":"retryable","aim_ns":250000000}],"membership_mode":"pushed"}}`
 
+// TestLoadConfig: a configuration file is read to the values in it.
 func TestLoadConfig(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
@@ -36,22 +38,27 @@
 	}
 }
 
-// TestNoProbesOnSockets: settings written for the simulator may allow what the
-// protocol on sockets does not have. A look would hold each request and refuse it.
+// TestNoHealthChecksOnSockets: settings written for the simulator may allow
+// what the protocol on sockets does not have. A health check would hold each
+// request and reject it.
 func TestNoHealthChecksOnSockets(t *testing.T) {
 	c, err := ParseConfig([]byte(strings.Replace(validConfig, `"caps":{`, `"report":{"how":"probe","fields":["active"]},"caps":{"probes":true,"peers":true,`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	address, _ := recordingServer(t)
+	address, _ := startRecordingBackend(t)
 	n := startNodeWith(t, func(s *balancer.Settings) {
-		s.LoadReportSource, s.HealthChecksAllowed, s.GossipAllowed = c.Settings.LoadReportSource, c.Settings.HealthChecksAllowed, c.Settings.GossipAllowed
+		s.LoadReportSource = c.Settings.LoadReportSource
+		s.HealthChecksAllowed = c.Settings.HealthChecksAllowed
+		s.GossipAllowed = c.Settings.GossipAllowed
 	}, address)
 	if a := sendRequest(t, n.request(t, "GET", "saldo", "q", "60", nil)); a.status != 200 || c.Settings.LoadReportSource != balancer.LoadReportsByHealthCheck {
-		t.Errorf("answer %d with reports by %v", a.status, c.Settings.LoadReportSource)
+		t.Errorf("status %d with reports by %v", a.status, c.Settings.LoadReportSource)
 	}
 }
 
+// TestBadConfig: an invalid configuration is an error of one line that names
+// what is wrong.
 func TestBadConfig(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{validConfig, "", "unexpected end"},
@@ -71,7 +78,8 @@
 	}
 }
 
-// TestConfigOutlastsAWant of descriptors; a file that is missing is told at once.
+// TestConfigReadRetries: a shortage of descriptors is waited out; a missing
+// file is reported at once.
 func TestConfigReadRetries(t *testing.T) {
 	for _, c := range []struct {
 		err   error
@@ -79,7 +87,8 @@
 	}{{syscall.ENFILE, 4}, {syscall.EMFILE, 4}, {syscall.ENOENT, 1}} {
 		calls := 0
 		raw, err := readRetrying(func() ([]byte, error) {
-			if calls++; calls <= 3 {
+			calls++
+			if calls <= 3 {
 				return nil, &os.PathError{Op: "open", Path: "config.json", Err: c.err}
 			}
 			return []byte("{}"), nil
@@ -89,3 +98,23 @@
 		}
 	}
 }
+
+// TestConfigErrorNamesKey: an invalid value is reported with its key and what is
+// wanted.
+func TestConfigErrorNamesKey(t *testing.T) {
+	for _, c := range []struct{ old, new, key, value string }{
+		{`"127.0.0.1:5000"`, `"127.0.0.1"`, "listen", "127.0.0.1"},
+		{`"127.0.0.1:8500"`, `""`, "discovery", ""},
+		{`"fc1f30d27a5be964"`, `"seed"`, "seed", "seed"},
+		{`512`, `8`, "limits.sockets", "8"},
+	} {
+		_, err := ParseConfig([]byte(strings.Replace(validConfig, c.old, c.new, 1)))
+		var invalid *ConfigError
+		if !errors.As(err, &invalid) || invalid.Key != c.key || invalid.Value != c.value || invalid.Want == "" {
+			t.Errorf("%s: error %#v, want one on key %s with value %q", c.new, err, c.key, c.value)
+		}
+	}
+	if _, err := ParseConfig([]byte("{}")); !errors.Is(err, ErrNoSettings) {
+		t.Errorf("error %v, want %v", err, ErrNoSettings)
+	}
+}
--- a/internal/node/connlimit_test.go
+++ b/internal/node/connlimit_test.go
@@ -10,11 +10,12 @@
 	"time"
 )
 
-// TestCrowdShutsNobodyOut: a crowd of idle clients takes all places at once. Requests on connections that come right
-// behind it are answered, each on its first connection.
+// TestCrowdOfIdleClients: a crowd of idle clients takes all slots at once.
+// Requests on connections that arrive right after it are answered, each on its
+// first connection.
 func TestCrowdOfIdleClients(t *testing.T) {
-	server, _ := okServer(t)
-	n := startNodeOn(t, newListener(t), func(c *Config) { c.Sockets = 128 }, server)
+	backend, _ := startOKBackend(t)
+	n := startNodeOn(t, newListener(t), func(c *Config) { c.Sockets = 128 }, backend)
 	for range 3 {
 		var crowd sync.WaitGroup
 		for range 5 * n.frontend.maxConnections {
@@ -36,7 +37,7 @@
 				began := time.Now()
 				c := n.dial(t)
 				c.sendPost(t, fmt.Sprint("q", i), "20")
-				silent := time.Since(began) // at most: a client that is so for longer than it is spared gives way itself
+				silent := time.Since(began) // at most: after evictionGrace it may be evicted itself
 				resp, err := http.ReadResponse(c.read, nil)
 				if err == nil && resp.StatusCode == http.StatusOK {
 					break
@@ -51,27 +52,30 @@
 	}
 }
 
-// TestFullOfRequests: all places are taken by connections that carry requests. A further client waits for one of them.
+// TestAllSlotsCarryRequests: all slots are taken by connections that carry
+// requests. Further clients wait for one of them.
 func TestAllSlotsCarryRequests(t *testing.T) {
-	const places = 4
-	l := newConnectionLimiter(newListener(t), places, discardLog)
+	const slots = 4
+	l := newConnectionLimiter(newListener(t), slots, discardLog)
 	got, release := make(chan bool, 100), make(chan struct{})
-	srv := &http.Server{ConnState: l.trackState, ConnContext: l.connContext, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		got <- true
 		<-release
 		io.WriteString(w, "ok")
-	})}
+	})
+	srv := &http.Server{ConnState: l.trackState, ConnContext: l.connContext, Handler: handler}
 	go srv.Serve(l)
 	t.Cleanup(func() { srv.Close() })
 	var clients []testClient
-	for i := range 2 * places {
+	for i := range 2 * slots {
 		c := (&testNode{address: l.Addr().String()}).dial(t)
 		c.sendPost(t, fmt.Sprint("q", i), "20")
-		if clients = append(clients, c); i < places {
+		clients = append(clients, c)
+		if i < slots {
 			receive(t, got, "the request")
 		}
 	}
-	delayVisibly() // the listener finds no place for the others
+	delayVisibly() // the listener has no slot for the others
 	close(release)
 	for i, c := range clients {
 		if resp, err := http.ReadResponse(c.read, nil); err != nil || resp.StatusCode != http.StatusOK {
@@ -80,12 +84,13 @@
 	}
 }
 
-// TestLastingCrowd: idle clients come again and again for longer than a request's time, so that the listener's queue is
-// never empty. What comes then has not waited all along, and is served.
+// TestLastingCrowd: idle clients reconnect for longer than a request's timeout,
+// so that the listener's queue is never empty. What arrives then has not waited
+// all along, and is served.
 func TestLastingCrowd(t *testing.T) {
-	const patience = time.Second
-	server, _ := okServer(t)
-	n := startNodeOn(t, newListener(t), func(c *Config) { c.Sockets = 64 }, server)
+	const clientTimeout = time.Second
+	backend, _ := startOKBackend(t)
+	n := startNodeOn(t, newListener(t), func(c *Config) { c.Sockets = 64 }, backend)
 	done := make(chan struct{})
 	var crowd sync.WaitGroup
 	for range 16 * n.frontend.maxConnections {
@@ -106,11 +111,11 @@
 			}
 		}()
 	}
-	time.Sleep(2 * patience)
+	time.Sleep(2 * clientTimeout)
 	served := 0
 	for i := range 10 {
 		c := n.dial(t)
-		c.sendPost(t, fmt.Sprint("q", i), fmt.Sprint(patience.Seconds()))
+		c.sendPost(t, fmt.Sprint("q", i), fmt.Sprint(clientTimeout.Seconds()))
 		if resp, err := http.ReadResponse(c.read, nil); err == nil && resp.StatusCode == http.StatusOK {
 			served++
 		}
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -1,9 +1,6 @@
 package node
 
 import (
-	"bankshift/balancer"
-	"bankshift/internal/discovery"
-	"bankshift/internal/upstream"
 	"bufio"
 	"context"
 	"encoding/json"
@@ -15,17 +12,19 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"bankshift/balancer"
+	"bankshift/internal/discovery"
+	"bankshift/internal/upstream"
 )
 
+// TestApplyEndpointsSetsAddresses: each kind of update reaches the pool and the
+// readiness.
 func TestApplyEndpointsSetsAddresses(t *testing.T) {
 	n := New(testConfig("127.0.0.1:1"), discardLog)
 	dials := hookDials(n, func(*upstream.Config) {})
 	apply := func(kind balancer.UpdateKind, entries ...string) {
-		l := discovery.List{Version: 1, Snapshot: kind != balancer.IncrementalUpdate}
-		for _, e := range entries {
-			l.Endpoints = append(l.Endpoints, json.RawMessage(e))
-		}
-		n.applyEndpoints(l, kind)
+		n.applyEndpoints(listOf(kind, entries...), kind)
 	}
 	check := func(when string, want map[string]string) {
 		t.Helper()
@@ -58,10 +57,10 @@
 	check("empty", nil)
 }
 
-// TestAskedCallHangsBehindAFailure: where lists are asked for, the call behind
-// a failed one may hang through the end of an outage, so it is not one that
-// may wait: what discovery has at its return is known within 6 s, the drain
-// grace taken off.
+// TestPollOnDemandHangsAfterFailure: where the endpoint list is polled on
+// demand, the poll after a failed one may hang through the end of an outage, so
+// it is no long poll: what discovery has when it returns is known within 6 s
+// less the drain grace.
 func TestPollOnDemandHangsAfterFailure(t *testing.T) {
 	hung, broken := make(chan bool, 1), make(chan bool, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -70,7 +69,7 @@
 			return
 		}
 		select {
-		case broken <- true: // the first watch
+		case broken <- true: // the first long poll
 			panic(http.ErrAbortHandler)
 		default:
 		}
@@ -86,17 +85,16 @@
 	cfg.Settings.EndpointsOnDemand = true
 	n := startNodeFromConfig(t, cfg)
 	n.awaitEndpoints(t, "[a]")
-	for end := time.Now().Add(testTimeout); len(hung) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
-	}
-	back := time.Now() // the call that hangs has just begun
+	waitUntil(t, "the poll that hangs", func() bool { return len(hung) > 0 })
+	back := time.Now()
 	n.awaitEndpoints(t, "[a b]")
-	if took, most := time.Since(back), 6*time.Second-cfg.Settings.DrainGrace; took > most {
-		t.Errorf("known %v after discovery's return, want within %v", took, most)
+	if took, limit := time.Since(back), 6*time.Second-cfg.Settings.DrainGrace; took > limit {
+		t.Errorf("known %v after discovery's return, want within %v", took, limit)
 	}
 }
 
-// TestAskedCallsAreRefused: discovery refuses connections, as the waits behind
-// the calls have grown long, and is back.
+// TestPollsOnDemandAreRefused: discovery refuses connections until the pauses
+// between polls have grown long, and returns.
 func TestPollsOnDemandAreRefused(t *testing.T) {
 	address, listen := boundPort(t)
 	cfg := testConfig(address)
@@ -114,13 +112,13 @@
 		<-r.Context().Done()
 	}))
 	n.awaitEndpoints(t, "[b]")
-	if took, most := time.Since(back), 6*time.Second-cfg.Settings.DrainGrace; took > most {
-		t.Errorf("known %v after discovery's return, want within %v", took, most)
+	if took, limit := time.Since(back), 6*time.Second-cfg.Settings.DrainGrace; took > limit {
+		t.Errorf("known %v after discovery's return, want within %v", took, limit)
 	}
 }
 
-// TestNewProcessTakesTheWholeList: the version of the list that a node is
-// started with may be of another discovery, where it means nothing.
+// TestNewProcessFetchesFullList: the version of the endpoint list that a node
+// is started with may be that of another discovery, where it means nothing.
 func TestNewProcessFetchesFullList(t *testing.T) {
 	first := make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -135,145 +133,175 @@
 	n := New(cfg, discardLog)
 	n.applyEndpoints(cfg.Known, balancer.CachedUpdate)
 	go n.discovery.Run(ctx)
-	if q := receive(t, first, "the first call"); q != "" {
-		t.Errorf("the first call is for %s, want the whole list", q)
+	if q := receive(t, first, "the first poll"); q != "" {
+		t.Errorf("the first poll is for %s, want the full list", q)
 	}
 }
 
-// TestWholeListLeavesOut: a whole list, after a reload or from the watch that
-// goes on, leaves out a server that still answers, or names a new process of
-// it. Its resting connection is closed at once, nothing begins on it, not even
-// what is being dialled, and what it has already is served to the end.
+// removal is how a full list removes an endpoint.
+type removal struct {
+	name   string
+	moved  bool   // discovery moves
+	drains bool   // the endpoint was announced as draining before
+	status string // of the endpoint in the full list; empty: it is left out
+	since  int    // its start time there
+}
+
+// TestFullListRemovesEndpoint: a full list, after a reload or from the poll
+// that goes on, leaves out an endpoint that still answers, or names a new
+// process of it. Its idle connection is closed at once, nothing begins on it,
+// not even what is being dialed, and the requests it has are served to the end.
 func TestFullListRemovesEndpoint(t *testing.T) {
-	for _, c := range []struct {
-		name          string
-		moved, drains bool   // discovery moves; the server was announced as draining before
-		status        string // of the server in the whole list
-		since         int
-	}{
-		{"left out after a reload", true, false, "", 0},
-		{"drained, then left out after a reload", true, true, "", 0},
-		{"left out by the watch", false, false, "", 0},
-		{"drains after a reload", true, false, "draining", 0},
-		{"restarted", false, false, "ready", 5},
+	for _, r := range []removal{
+		{name: "left out after a reload", moved: true},
+		{name: "drained, then left out after a reload", moved: true, drains: true},
+		{name: "left out by the poll that goes on"},
+		{name: "drains after a reload", moved: true, status: "draining"},
+		{name: "restarted", status: "ready", since: 5},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			release := make(chan bool)
-			events := make(chan string, 20) // connection and request, or the connection's end
-			address := backendServer(t, func(number int, conn net.Conn, r *bufio.Reader) {
-				for {
-					req := readRequest(r)
-					if req == nil {
-						events <- fmt.Sprint(number, " ends")
-						return
-					}
-					id := req.Header.Get("X-Request-Id")
-					if events <- fmt.Sprint(number, " ", id); id == "open" {
-						<-release
-					}
-					io.WriteString(conn, okResponse)
-				}
-			})
-			expect := func(want string) {
-				t.Helper()
-				if got := receive(t, events, want); got != want {
-					t.Errorf("%q, want %q", got, want)
-				}
-			}
-			entry := func(status string, since int) string {
-				return fmt.Sprintf(`{"name":"s-0","address":%q,"status":%q,"since_ms":%d}`, address, status, since)
-			}
-			other, got := recordingServer(t)
-			whole := []string{endpointJSON("other", other, "ready")}
-			if c.status != "" {
-				whole = append(whole, entry(c.status, c.since))
-			}
-			n := startNodeResting(t, time.Hour, func(*balancer.Settings) {}, address) // so that each request needs a new connection
-			follow := func(kind balancer.UpdateKind, entries ...string) {
-				l := discovery.List{Version: 1, Snapshot: kind == balancer.FullUpdate}
-				for _, e := range entries {
-					l.Endpoints = append(l.Endpoints, json.RawMessage(e))
-				}
-				n.post(func() { n.applyEndpoints(l, kind) })
-			}
-			begun, come := blockDials(n.dials)
-			ask := func(id string) chan clientResponse {
-				answer := make(chan clientResponse, 1)
-				go func() { answer <- sendRequest(t, n.request(t, "GET", "saldo", id, "60", nil)) }()
-				receive(t, begun, "a connection to begin")
-				return answer
-			}
-			open := ask("open")
-			come <- struct{}{}
-			expect("0 open")
-			done := ask("done")
-			come <- struct{}{}
-			expect("1 done")
-			receive(t, done, "its answer")
-			dialled := ask("dialled")
-			if c.drains {
-				follow(balancer.IncrementalUpdate, entry("draining", 0))
-			}
-			if c.moved {
-				address, watched, _ := discoveryServer(t, 3, whole...)
-				cfg := n.cfg
-				cfg.Discovery = address
-				n.Reload(cfg)
-				receive(t, watched, "the watch there") // the list is known before it begins
-			} else {
-				follow(balancer.FullUpdate, whole...)
-			}
-			expect("1 ends")
-			close(come)
-			expect("2 ends")
-			if a := receive(t, dialled, "an answer"); a.status != 200 || receive(t, got, "it elsewhere") != "dialled" {
-				t.Errorf("the dialled request is answered %d", a.status)
-			}
-			close(release)
-			if a := receive(t, open, "an answer"); a.status != 200 {
-				t.Errorf("the open request is answered %d", a.status)
+		t.Run(r.name, func(t *testing.T) { testFullListRemovesEndpoint(t, r) })
+	}
+}
+
+func testFullListRemovesEndpoint(t *testing.T, r removal) {
+	address, events, release := startReportingBackend(t)
+	expect := func(want string) {
+		t.Helper()
+		if got := receive(t, events, want); got != want {
+			t.Errorf("%q, want %q", got, want)
+		}
+	}
+	entry := func(status string, since int) string {
+		return fmt.Sprintf(`{"name":"s-0","address":%q,"status":%q,"since_ms":%d}`, address, status, since)
+	}
+	other, got := startRecordingBackend(t)
+	fullList := []string{endpointJSON("other", other, "ready")}
+	if r.status != "" {
+		fullList = append(fullList, entry(r.status, r.since))
+	}
+	n := startNodeResting(t, time.Hour, func(*balancer.Settings) {}, address) // so that each request needs a new connection
+	begun, up := blockDials(n.dials)
+	send := func(id string) chan clientResponse {
+		response := make(chan clientResponse, 1)
+		go func() { response <- sendRequest(t, n.request(t, "GET", "saldo", id, "60", nil)) }()
+		receive(t, begun, "a connection to begin")
+		return response
+	}
+	open := send("open")
+	up <- struct{}{}
+	expect("0 open")
+	done := send("done")
+	up <- struct{}{}
+	expect("1 done")
+	receive(t, done, "its response")
+	dialed := send("dialed")
+	if r.drains {
+		n.postEndpoints(balancer.IncrementalUpdate, entry("draining", 0))
+	}
+	if r.moved {
+		n.moveDiscovery(t, fullList)
+	} else {
+		n.postEndpoints(balancer.FullUpdate, fullList...)
+	}
+	expect("1 ends")
+	close(up)
+	expect("2 ends")
+	if resp := receive(t, dialed, "a response"); resp.status != 200 || receive(t, got, "it elsewhere") != "dialed" {
+		t.Errorf("the request that was being dialed is answered %d", resp.status)
+	}
+	close(release)
+	if resp := receive(t, open, "a response"); resp.status != 200 {
+		t.Errorf("the open request is answered %d", resp.status)
+	}
+	expect("0 ends")
+	if !n.frontend.ready.Load() {
+		t.Error("not ready")
+	}
+}
+
+// startReportingBackend starts a backend that answers each request, the one with
+// the ID "open" when release is closed. events receives the number of a connection
+// with the ID of each request, and with "ends" at its end.
+func startReportingBackend(t *testing.T) (address string, events chan string, release chan bool) {
+	t.Helper()
+	events = make(chan string, 20)
+	release = make(chan bool)
+	address = startBackend(t, func(number int, c net.Conn, r *bufio.Reader) {
+		for {
+			req := readRequest(r)
+			if req == nil {
+				events <- fmt.Sprint(number, " ends")
+				return
 			}
-			expect("0 ends")
-			if !n.frontend.ready.Load() {
-				t.Error("not ready")
+			id := req.Header.Get("X-Request-Id")
+			events <- fmt.Sprint(number, " ", id)
+			if id == "open" {
+				<-release
 			}
-		})
+			io.WriteString(c, okResponse)
+		}
+	})
+	return address, events, release
+}
+
+// postEndpoints has the loop apply an endpoint list.
+func (n *testNode) postEndpoints(kind balancer.UpdateKind, entries ...string) {
+	n.post(func() { n.applyEndpoints(listOf(kind, entries...), kind) })
+}
+
+// moveDiscovery reloads the node's configuration with a new discovery and waits
+// until its list is known.
+func (n *testNode) moveDiscovery(t *testing.T, entries []string) {
+	t.Helper()
+	address, watched, _ := startDiscovery(t, 3, entries...)
+	cfg := n.cfg
+	cfg.Discovery = address
+	n.Reload(cfg)
+	receive(t, watched, "the long poll there") // it begins after the list is known
+}
+
+// listOf returns an endpoint list with these entries, in JSON.
+func listOf(kind balancer.UpdateKind, entries ...string) discovery.List {
+	list := discovery.List{Version: 1, Snapshot: kind != balancer.IncrementalUpdate}
+	for _, entry := range entries {
+		list.Endpoints = append(list.Endpoints, json.RawMessage(entry))
 	}
+	return list
 }
 
-// TestLastEntryCounts: a list may name a server twice, in the order of what
-// has happened to it. The last entry holds, however long the list is.
+// TestLastEntryOfListHolds: a list may name an endpoint twice, in the order of
+// what has happened to it. The last entry holds, however long the list is.
 func TestLastEntryOfListHolds(t *testing.T) {
 	for _, states := range [][2]string{{"draining", "ready"}, {"ready", "draining"}, {"gone", "ready"}, {"ready", "gone"}} {
 		n := New(testConfig("127.0.0.1:1"), discardLog)
 		dials := hookDials(n, func(*upstream.Config) {})
-		address, _ := okServer(t)
+		address, _ := startOKBackend(t)
 		l := discovery.List{Version: 1, Snapshot: true}
-		const servers = 50
+		const endpoints = 50
 		for _, state := range states {
-			for i := range servers {
+			for i := range endpoints {
 				l.Endpoints = append(l.Endpoints, json.RawMessage(endpointJSON(fmt.Sprint("s", i), address, state)))
 			}
 		}
 		n.applyEndpoints(l, balancer.FullUpdate)
-		pooled, leaving := 0, 0
-		for i := range servers {
-			if dialled, outcome := dials.pooled(t, n, fmt.Sprint("s", i), nil); dialled != "" {
+		pooled, draining := 0, 0
+		for i := range endpoints {
+			if dialed, outcome := dials.pooled(t, n, fmt.Sprint("s", i), nil); dialed != "" {
 				pooled++
-				if outcome == balancer.NotSent { // though its connection came up
-					leaving++
+				if outcome == balancer.NotSent { // though the connection came up
+					draining++
 				}
 			}
 		}
-		listed, left := servers, 0
+		wantListed, wantDraining := endpoints, 0
 		switch states[1] {
 		case "gone":
-			listed = 0
+			wantListed = 0
 		case "draining":
-			left = servers
+			wantDraining = endpoints
 		}
-		if pooled != listed || n.directory.Len() != listed || leaving != left {
-			t.Errorf("%v: %d in the pool, %d leave; want %d and %d", states, pooled, leaving, listed, left)
+		if pooled != wantListed || n.directory.Len() != wantListed || draining != wantDraining {
+			t.Errorf("%v: %d in the pool, %d draining; want %d and %d", states, pooled, draining, wantListed, wantDraining)
 		}
 	}
 }
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -12,21 +12,22 @@
 	"time"
 )
 
-// TestSilentClientsGiveWay: clients that connect by hundreds and say nothing
-// must neither shut out one that asks nor wait unheard.
+// TestSilentClientsAreEvicted: clients that connect by hundreds and send
+// nothing must not shut out one with a request, and their connections are
+// closed.
 func TestSilentClientsAreEvicted(t *testing.T) {
-	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
 			io.WriteString(c, okResponse)
 		}
 	}))
-	most := n.frontend.maxConnections
 	var silent []testClient
-	for range 2 * most {
+	for range 2 * n.frontend.maxConnections {
 		silent = append(silent, n.dial(t))
 	}
-	// A client that is turned away in the rush comes again and gets its turn.
-	for i, until := 0, time.Now().Add(testTimeout); ; i++ {
+	// A client that is rejected in the crowd tries again and is served.
+	until := time.Now().Add(testTimeout)
+	for i := 0; ; i++ {
 		c := n.dial(t)
 		fmt.Fprintf(c, "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: q%d\r\nX-Class: saldo\r\nX-Deadline: 60\r\n\r\n", i)
 		if resp, err := http.ReadResponse(c.read, nil); err == nil && resp.StatusCode == 200 {
@@ -38,17 +39,15 @@
 	}
 	for i, c := range silent {
 		if _, err := c.read.ReadByte(); err == nil || isTimeout(err) {
-			t.Fatalf("silent client %d gets %v, want the end of its connection", i, err)
+			t.Fatalf("silent client %d gets %v, want a close", i, err)
 		}
 	}
 }
 
-// TestIdleClientsGiveWay: clients that hold connections and send nothing must not shut out others.
+// TestIdleClientsAreEvicted: clients that keep connections and send nothing
+// must not shut out others.
 func TestIdleClientsAreEvicted(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	ln := newListener(t)
 	l := newConnectionLimiter(ln, 2, discardLog)
 	idle := make(chan struct{}, 10)
 	srv := &http.Server{Handler: http.NotFoundHandler(), ConnState: func(c net.Conn, s http.ConnState) {
@@ -81,36 +80,37 @@
 	}
 }
 
-// TestRetireSparesNewConnections: the first request of one that has just come
-// is on its way. Those that have been silent for long, or are between
-// requests, are closed.
+// TestDrainSparesNewConnections: the first request of a new connection is on
+// its way. Connections that have been silent for long, or have served a
+// request, are closed.
 func TestDrainSparesNewConnections(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name    string
-		unused  idleState
-		retired bool
+		state   idleState
+		drained bool
 	}{
-		{"just come", idleState{since: now.Add(-silenceAllowance / 2)}, false},
+		{"new", idleState{since: now.Add(-silenceAllowance / 2)}, false},
 		{"silent", idleState{since: now.Add(-silenceAllowance)}, true},
 		{"between requests", idleState{since: now, servedBefore: true}, true},
 	} {
-		lc, _ := connectionPair(t)
-		lc.limiter.idle[lc] = c.unused
-		lc.limiter.drain(now)
-		lc.mu.Lock()
-		if lc.draining != c.retired {
-			t.Errorf("%s: retired %v, want %v", c.name, lc.draining, c.retired)
+		conn, _ := connectionPair(t)
+		conn.limiter.idle[conn] = c.state
+		conn.limiter.drain(now)
+		conn.mu.Lock()
+		if conn.draining != c.drained {
+			t.Errorf("%s: drained %v, want %v", c.name, conn.draining, c.drained)
 		}
-		lc.mu.Unlock()
+		conn.mu.Unlock()
 	}
 }
 
-// TestStalledRequestsGiveWay: bad clients stop in the middle of their requests on all connections that a node has places
-// for. Trouble with other clients frees no request of its answer: one that comes then is answered in its time.
+// TestStalledRequestsAreTightened: bad clients stop in the middle of their
+// requests on all connections for which a node has slots. A request that
+// arrives then is still answered within its timeout.
 func TestStalledRequestsAreTightened(t *testing.T) {
-	const patience = time.Second
-	server, _ := okServer(t)
+	const clientTimeout = time.Second
+	backend, _ := startOKBackend(t)
 	for name, part := range map[string]string{
 		"heads":  "GET /api/x HTTP/1.1\r\nHost: app",
 		"bodies": strings.Replace(postText("stalled", "20"), "Content-Length: 0", "Content-Length: 9", 1) + "part",
@@ -118,15 +118,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			n := startNodeOn(t, newListener(t), func(c *Config) { c.Sockets = 128 }, server)
+			n := startNodeOn(t, newListener(t), func(c *Config) { c.Sockets = 128 }, backend)
 			for range 2 * n.frontend.maxConnections {
 				io.WriteString(n.dial(t), part)
 			}
 			c := n.dial(t)
-			asked := time.Now()
-			c.sendPost(t, "q", strconv.FormatFloat(patience.Seconds(), 'f', 3, 64))
-			if s := c.status(t); s != http.StatusOK || time.Since(asked) > patience {
-				t.Errorf("answer %d after %v, want 200 within %v", s, time.Since(asked), patience)
+			sentAt := time.Now()
+			c.sendPost(t, "q", strconv.FormatFloat(clientTimeout.Seconds(), 'f', 3, 64))
+			if s := c.status(t); s != http.StatusOK || time.Since(sentAt) > clientTimeout {
+				t.Errorf("status %d after %v, want 200 within %v", s, time.Since(sentAt), clientTimeout)
 			}
 		})
 	}
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -12,40 +12,41 @@
 	"time"
 )
 
-// TestOldTimeLimitsDoNotReachLater: the limit on reading a request must not end
-// the wait for its answer, as if its client had left, and the limit on writing
-// an answer must not outlive that answer on its connection.
+// TestTimeLimitsEndWithTheirRequest: the limit on reading a request must not
+// end the wait for its response, as if its client had left, and the limit on
+// writing a response must not outlive it on its connection.
 func TestTimeLimitsEndWithTheirRequest(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
 			<-release
 			io.WriteString(c, okResponse)
 		}
 	}))
-	safe, unsafe := n.dial(t), n.dial(t)
-	safe.sendGet(t, "saldo", "q", "60")
-	fmt.Fprint(unsafe, "POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: u\r\nX-Class: pagar\r\nX-Deadline: 60\r\nContent-Length: 1\r\n\r\nx")
+	idempotent, notIdempotent := n.dial(t), n.dial(t)
+	idempotent.sendGet(t, "saldo", "q", "60")
+	fmt.Fprint(notIdempotent, "POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: u\r\nX-Class: pagar\r\nX-Deadline: 60\r\nContent-Length: 1\r\n\r\nx")
 	time.Sleep(requestReadTimeout + 200*time.Millisecond)
 	close(release)
-	for name, c := range map[string]testClient{"safe": safe, "unsafe": unsafe} {
+	for name, c := range map[string]testClient{"idempotent": idempotent, "notIdempotent": notIdempotent} {
 		if s := c.status(t); s != 200 {
 			t.Errorf("the %s request is answered %d after a long wait", name, s)
 		}
 	}
 	for end := time.Now().Add(responseWriteTimeout + 200*time.Millisecond); time.Now().Before(end); time.Sleep(idleTimeout / 4) {
-		io.WriteString(safe, "GET /health/live HTTP/1.1\r\nHost: app.svc\r\n\r\n")
-		if s := safe.status(t); s != 200 {
+		io.WriteString(idempotent, "GET /health/live HTTP/1.1\r\nHost: app.svc\r\n\r\n")
+		if s := idempotent.status(t); s != 200 {
 			t.Errorf("a health check is answered %d", s)
 		}
 	}
-	safe.sendGet(t, "saldo", "r", "60")
-	if s := safe.status(t); s != 200 {
+	idempotent.sendGet(t, "saldo", "r", "60")
+	if s := idempotent.status(t); s != 200 {
 		t.Errorf("a later request is answered %d", s)
 	}
 }
 
+// TestReadyOnlyWithEndpoints: a node without endpoints is alive and not ready.
 func TestReadyOnlyWithEndpoints(t *testing.T) {
 	n := startNode(t)
 	for path, want := range map[string]int{"/health/ready": 503, "/health/live": 200} {
@@ -60,9 +61,11 @@
 	}
 }
 
+// TestServes: a request and its response pass the node with their end-to-end
+// headers.
 func TestServes(t *testing.T) {
 	seen := make(chan *http.Request, 1)
-	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -77,15 +80,15 @@
 	req.Header.Set("X-Secret", "s")
 	got := sendRequest(t, req)
 	if got.status != 200 || got.body != "rent" || got.header.Get("X-App") != "yes" || got.header.Get("X-Load") != "" {
-		t.Errorf("answer %+v", got)
+		t.Errorf("response %+v", got)
 	}
-	at := <-seen
-	wait, err := strconv.ParseFloat(at.Header.Get("X-Deadline"), 64)
-	if err != nil || wait <= 0 || wait >= 20 {
-		t.Errorf("X-Deadline %q, want a little under 20", at.Header.Get("X-Deadline"))
+	received := <-seen
+	deadline, err := strconv.ParseFloat(received.Header.Get("X-Deadline"), 64)
+	if err != nil || deadline <= 0 || deadline >= 20 {
+		t.Errorf("X-Deadline %q, want a little under 20", received.Header.Get("X-Deadline"))
 	}
-	if at.Method != "POST" || at.RequestURI != "/api/key?a=1" || at.Header.Get("X-Request-Id") != "id-1" ||
-		at.Header.Get("Idempotency-Key") != "k-1" || at.Header.Get("X-Secret") != "" {
-		t.Errorf("the server got %s %s %v", at.Method, at.RequestURI, at.Header)
+	if received.Method != "POST" || received.RequestURI != "/api/key?a=1" || received.Header.Get("X-Request-Id") != "id-1" ||
+		received.Header.Get("Idempotency-Key") != "k-1" || received.Header.Get("X-Secret") != "" {
+		t.Errorf("the backend received %s %s %v", received.Method, received.RequestURI, received.Header)
 	}
 }
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// enough bounds what a test waits for; a passing one takes far less.
+// testTimeout limits what a test waits for; a passing test takes far less.
 const testTimeout = 30 * time.Second
 
 var discardLog = slog.New(slog.DiscardHandler)
 
+// receive returns the next value of a channel.
 func receive[T any](t *testing.T, c <-chan T, what string) (v T) {
 	t.Helper()
 	select {
@@ -23,7 +24,7 @@
 	return v
 }
 
-// await waits until something holds that comes with no event of its own.
+// waitUntil waits for a condition that no event announces.
 func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for until := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
@@ -33,19 +34,20 @@
 	}
 }
 
-// held lets time pass, so much that it shows in the time told to a server.
+// delayVisibly lets so much time pass that it shows in the deadline sent to a
+// backend.
 func delayVisibly() { time.Sleep(60 * time.Millisecond) }
 
 func isTimeout(err error) bool {
-	ne, ok := err.(net.Error)
-	return ok && ne.Timeout()
+	netErr, ok := err.(net.Error)
+	return ok && netErr.Timeout()
 }
 
-// watchStalls measures the longest time in which this process, node and client alike, was kept from running: what a test
-// times is late by that.
+// watchStalls measures the longest time for which this process, node and client
+// alike, was kept from running: a test's measurements are late by that.
 func watchStalls(t *testing.T) (longest func() time.Duration) {
 	const step = 5 * time.Millisecond
-	var most atomic.Int64
+	var longestStall atomic.Int64
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
 	go func() {
@@ -56,14 +58,14 @@
 				return
 			}
 			now := time.Now()
-			most.Store(max(most.Load(), int64(now.Sub(last)-step)))
+			longestStall.Store(max(longestStall.Load(), int64(now.Sub(last)-step)))
 			last = now
 		}
 	}()
-	return func() time.Duration { return time.Duration(most.Load()) }
+	return func() time.Duration { return time.Duration(longestStall.Load()) }
 }
 
-// listen opens a listener on a free port of the loopback address.
+// newListener opens a listener on a free port of the loopback address.
 func newListener(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestListenFailsForAMoment: socket and bind fail as the program starts.
+// TestListenRetries: socket and bind fail while the program starts.
 func TestListenRetries(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 		syscall.EINTR, syscall.EADDRINUSE} {
@@ -16,7 +16,8 @@
 			t.Parallel()
 			failures := 3
 			lc := net.ListenConfig{Control: func(string, string, syscall.RawConn) error {
-				if failures--; failures >= 0 {
+				failures--
+				if failures >= 0 {
 					return os.NewSyscallError("socket", errno)
 				}
 				return nil
@@ -30,18 +31,19 @@
 	}
 }
 
-// TestListenAwaitsItsAddress: the process before holds the address for a while yet.
+// TestListenWaitsForAddress: the previous process still holds the address for a
+// while.
 func TestListenWaitsForAddress(t *testing.T) {
-	before := newListener(t)
-	time.AfterFunc(300*time.Millisecond, func() { before.Close() })
-	ln, err := Listen(t.Context(), before.Addr().String(), discardLog)
+	previous := newListener(t)
+	time.AfterFunc(300*time.Millisecond, func() { previous.Close() })
+	ln, err := Listen(t.Context(), previous.Addr().String(), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln.Close()
 }
 
-// TestListenGivesUp: what does not pass is told at once.
+// TestListenGivesUp: a permanent error is returned at once.
 func TestListenGivesUp(t *testing.T) {
 	began := time.Now()
 	if _, err := Listen(t.Context(), "127.0.0.1:nowhere", discardLog); err == nil || time.Since(began) > maxListenAttempts*listenRetryInterval/2 {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
+// TestBalancerTimeIsWallTime: the balancer's time starts as the wall time.
 func TestBalancerTimeIsWallTime(t *testing.T) {
 	n := New(testConfig("127.0.0.1:1"), discardLog)
 	before := time.Now().UnixMilli()
 	if now := n.now(); now < time.Duration(before)*time.Millisecond || now > time.Duration(before)*time.Millisecond+testTimeout {
-		t.Errorf("the module's clock reads %v at Unix time %d ms", now, before)
+		t.Errorf("the balancer's time is %v at Unix time %d ms", now, before)
 	}
 }
--- a/internal/node/parse_test.go
+++ b/internal/node/parse_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"bankshift/balancer"
 	"bufio"
 	"bytes"
 	"fmt"
@@ -11,11 +10,14 @@
 	"strings"
 	"sync"
 	"testing"
+
+	"bankshift/balancer"
 )
 
+// TestBadRequests: a malformed request is rejected and reaches no backend.
 func TestBadRequests(t *testing.T) {
-	server, got, _ := stallingServer(t)
-	n := startNode(t, server)
+	backend, got, _ := startStallingBackend(t)
+	n := startNode(t, backend)
 	for _, c := range []struct {
 		name, method, class, id, deadline string
 		key                               []string
@@ -27,16 +29,16 @@
 		{"no class", "GET", "", "q", "1", nil, 0, 400},
 		{"unknown class", "GET", "odd", "q", "1", nil, 0, 400},
 		{"no deadline", "GET", "saldo", "q", "", nil, 0, 400},
-		{"odd deadline", "GET", "saldo", "q", "soon", nil, 0, 400},
+		{"deadline not a number", "GET", "saldo", "q", "soon", nil, 0, 400},
 		{"deadline NaN", "GET", "saldo", "q", "NaN", nil, 0, 400},
 		{"deadline Inf", "GET", "saldo", "q", "Inf", nil, 0, 400},
 		{"negative deadline", "GET", "saldo", "q", "-1", nil, 0, 400},
-		{"safe class, other method", "POST", "saldo", "q", "1", nil, 1, 405},
-		{"unsafe class, other method", "GET", "pagar", "q", "1", nil, 0, 405},
-		{"keyed class, no key", "POST", "pedido", "q", "1", nil, 1, 400},
-		{"keyed class, empty key", "POST", "pedido", "q", "1", []string{""}, 1, 400},
-		{"keyed class, two keys", "POST", "pedido", "q", "1", []string{"k", "l"}, 1, 400},
-		{"unsafe class, key", "POST", "pagar", "q", "1", []string{"k"}, 1, 400},
+		{"idempotent class, other method", "POST", "saldo", "q", "1", nil, 1, 405},
+		{"not idempotent class, other method", "GET", "pagar", "q", "1", nil, 0, 405},
+		{"class by key, no key", "POST", "pedido", "q", "1", nil, 1, 400},
+		{"class by key, empty key", "POST", "pedido", "q", "1", []string{""}, 1, 400},
+		{"class by key, two keys", "POST", "pedido", "q", "1", []string{"k", "l"}, 1, 400},
+		{"not idempotent class, key", "POST", "pagar", "q", "1", []string{"k"}, 1, 400},
 		{"body too long", "POST", "pagar", "q", "1", nil, maxBodyBytes + 1, 413},
 	} {
 		req := n.request(t, c.method, c.class, c.id, c.deadline, bytes.NewReader(make([]byte, c.body)))
@@ -44,21 +46,22 @@
 			req.Header["Idempotency-Key"] = c.key
 		}
 		if a := sendRequest(t, req); a.status != c.want {
-			t.Errorf("%s: answer %+v, want %d", c.name, a, c.want)
+			t.Errorf("%s: response %+v, want %d", c.name, a, c.want)
 		}
 	}
 	select {
 	case id := <-got:
-		t.Errorf("request %q reached a server", id)
+		t.Errorf("request %q reached a backend", id)
 	default:
 	}
 }
 
 // TestNoRequestHidesInAnother: a body whose end two readers see in two places
-// may hide a request. None of it may reach a server, and the connection ends.
+// may hide a request. None of it may reach a backend, and the connection is
+// closed.
 func TestNoRequestHidesInAnother(t *testing.T) {
-	server, got, _ := stallingServer(t)
-	n := startNode(t, server)
+	backend, got, _ := startStallingBackend(t)
+	n := startNode(t, backend)
 	hidden := "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: hidden\r\nX-Class: saldo\r\nX-Deadline: 60\r\n\r\n"
 	for name, c := range map[string]struct{ line, framing, body string }{
 		"coding, then length":      {"POST /api/x HTTP/1.1", "Transfer-Encoding: chunked\r\nContent-Length: 200\r\n", "0\r\n\r\n" + hidden},
@@ -78,86 +81,102 @@
 		fmt.Fprintf(conn, "%s\r\nHost: app.svc\r\nX-Request-Id: q\r\nX-Class: %s\r\nX-Deadline: 60\r\n%s\r\n%s", c.line, class, c.framing, c.body)
 		resp, err := http.ReadResponse(conn.read, nil)
 		if err != nil {
-			t.Errorf("%s: no answer: %v", name, err)
+			t.Errorf("%s: no response: %v", name, err)
 			continue
 		}
 		io.Copy(io.Discard, resp.Body)
 		if _, err := conn.read.ReadByte(); resp.StatusCode < 400 || err != io.EOF {
-			t.Errorf("%s: answer %d, then %v, want an error and the end of the connection", name, resp.StatusCode, err)
+			t.Errorf("%s: status %d, then %v, want an error and a close", name, resp.StatusCode, err)
 		}
 	}
 	select {
 	case id := <-got:
-		t.Errorf("request %q reached a server", id)
+		t.Errorf("request %q reached a backend", id)
 	default:
 	}
 }
 
-// TestRequestsInPieces: two requests, the second right behind the first, are
-// served one after the other, each once and with its own answer, wherever
-// their bytes are cut and in each form that a head may have.
-func TestRequestsReadInPieces(t *testing.T) {
-	var mu sync.Mutex
-	ran := map[string]int{}
-	// With no leave to cancel, no attempt is given up in a hiccup of this machine.
-	n := startNodeResting(t, 0, func(s *balancer.Settings) { s.CancelAllowed = false }, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
-		for {
-			req, err := http.ReadRequest(r)
-			if err != nil {
-				return
-			}
-			body, _ := io.ReadAll(req.Body)
-			id := req.Header.Get("X-Request-Id")
-			mu.Lock()
-			ran[id]++
-			mu.Unlock()
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s %s", len(id)+len(body)+1, id, body)
-		}
-	}))
-	plain := "POST /api/x?a=1 HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: pedido\r\nX-Deadline: 60\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\nrent" +
+// plainRequests and unusualRequests are two requests each, without their IDs. The
+// second pair has the unusual forms that a head may have.
+const (
+	plainRequests = "POST /api/x?a=1 HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: pedido\r\nX-Deadline: 60\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\nrent" +
 		"GET /api/y HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: saldo\r\nX-Deadline: 60.000\r\n\r\n"
-	odd := "POST http://app.svc/api/x?a=1 HTTP/1.1\nhost:app.svc\nx-request-id:\t%s \nx-class:pedido\nx-deadline: 6e1\nIDEMPOTENCY-KEY:k\nX-Long: a\n b\ncontent-length:4\n\nrent" +
+	unusualRequests = "POST http://app.svc/api/x?a=1 HTTP/1.1\nhost:app.svc\nx-request-id:\t%s \nx-class:pedido\nx-deadline: 6e1\nIDEMPOTENCY-KEY:k\nX-Long: a\n b\ncontent-length:4\n\nrent" +
 		"\r\nGET /api/y HTTP/1.1\r\nhOST: app.svc\r\nConnection: keep-alive\r\nX-REQUEST-ID:   %s\r\nX-Class: saldo\r\nX-Deadline: 60\r\nContent-Length: 0\r\n\r\n"
-	for name, text := range map[string]string{"plain": plain, "odd": odd, "byte by byte": plain + odd} {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		ids := func(k int) (ids []any) {
+)
+
+// TestRequestsReadInPieces: two requests, the second right after the first, are
+// served one after the other, each once and with its own response, wherever the
+// reads are cut and in each form that a head may have.
+func TestRequestsReadInPieces(t *testing.T) {
+	backend, executions := startCountingBackend(t)
+	// Where attempts must not be canceled, none is given up when this machine is slow for a moment.
+	n := startNodeResting(t, 0, func(s *balancer.Settings) { s.CancelAllowed = false }, backend)
+	for name, text := range map[string]string{
+		"plain":        plainRequests,
+		"unusual":      unusualRequests,
+		"byte by byte": plainRequests + unusualRequests,
+	} {
+		ids := func(cut int) (ids []any) {
 			for i := range strings.Count(text, "%s") {
-				ids = append(ids, fmt.Sprintf("%s-%04d-%d", name[:1], k, i))
+				ids = append(ids, fmt.Sprintf("%s-%04d-%d", name[:1], cut, i))
 			}
 			return ids
 		}
-		size := len(fmt.Sprintf(text, ids(0)...))
-		l := &splittingListener{Listener: ln, byteByByte: name == "byte by byte"}
-		if l.byteByByte {
-			size = 2
+		byteByByte := name == "byte by byte"
+		cuts := len(fmt.Sprintf(text, ids(0)...))
+		if byteByByte {
+			cuts = 2
 		}
-		conns := newConnectionLimiter(l, 100, discardLog)
-		srv := &http.Server{Handler: n.frontend, ConnState: conns.trackState, ConnContext: conns.connContext}
-		go srv.Serve(conns)
+		l := newConnectionLimiter(&splittingListener{Listener: newListener(t), byteByByte: byteByByte}, 100, discardLog)
+		srv := &http.Server{Handler: n.frontend, ConnState: l.trackState, ConnContext: l.connContext}
+		go srv.Serve(l)
 		defer srv.Close()
-		for k := 1; k < size; k++ {
-			c := (&testNode{address: ln.Addr().String()}).dial(t)
-			want := ids(k)
+		for cut := 1; cut < cuts; cut++ {
+			c := (&testNode{address: l.Addr().String()}).dial(t)
+			want := ids(cut)
 			fmt.Fprintf(c, text, want...)
 			for i, id := range want {
 				resp, err := http.ReadResponse(c.read, nil)
 				if err != nil {
-					t.Fatalf("%s, cut at %d: answer %d: %v", name, k, i, err)
+					t.Fatalf("%s, cut at %d: response %d: %v", name, cut, i, err)
 				}
 				body, _ := io.ReadAll(resp.Body)
 				if resp.StatusCode != 200 || string(body) != fmt.Sprint(id, " ", []string{"rent", ""}[i%2]) {
-					t.Errorf("%s, cut at %d: answer %d is %d %q", name, k, i, resp.StatusCode, body)
+					t.Errorf("%s, cut at %d: response %d is %d %q", name, cut, i, resp.StatusCode, body)
 				}
-				mu.Lock()
-				if ran[id.(string)] != 1 {
-					t.Errorf("%s, cut at %d: request %d ran %d times", name, k, i, ran[id.(string)])
+				if count := executions(id.(string)); count != 1 {
+					t.Errorf("%s, cut at %d: request %d ran %d times", name, cut, i, count)
 				}
-				mu.Unlock()
 			}
 			c.Close()
 		}
 	}
 }
+
+// startCountingBackend starts a backend that answers each request with its ID and
+// its body. executions returns how often a request has come.
+func startCountingBackend(t *testing.T) (address string, executions func(id string) int) {
+	t.Helper()
+	var mu sync.Mutex
+	counts := map[string]int{}
+	address = startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		for {
+			req, err := http.ReadRequest(r)
+			if err != nil {
+				return
+			}
+			body, _ := io.ReadAll(req.Body)
+			id := req.Header.Get("X-Request-Id")
+			mu.Lock()
+			counts[id]++
+			mu.Unlock()
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s %s", len(id)+len(body)+1, id, body)
+		}
+	})
+	return address, func(id string) int {
+		mu.Lock()
+		defer mu.Unlock()
+		return counts[id]
+	}
+}
--- a/internal/node/readahead_test.go
+++ b/internal/node/readahead_test.go
@@ -9,13 +9,13 @@
 	"net/http"
 	"strings"
 	"testing"
-	"time"
 )
 
-// TestSendsOneAtATime: what comes behind an open request is read only so far.
+// TestReadAheadIsLimited: what is sent after an open request is read only up to
+// a limit.
 func TestReadAheadIsLimited(t *testing.T) {
-	server, got, gone := stallingServer(t)
-	n := startNode(t, server)
+	backend, got, gone := startStallingBackend(t)
+	n := startNode(t, backend)
 	c := n.dial(t)
 	c.sendGet(t, "saldo", "q", "60")
 	receive(t, got, "the attempt")
@@ -32,11 +32,11 @@
 	}
 }
 
-// TestEarlyRequestIsServed: a client that sends its next request behind an
-// open one is served both, one after the other.
+// TestEarlyRequestIsServed: a client that sends its next requests after an open
+// one is served all of them, one after the other.
 func TestEarlyRequestIsServed(t *testing.T) {
 	release, got := make(chan struct{}), make(chan bool, 30)
-	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
 			got <- true
 			<-release
@@ -56,11 +56,12 @@
 	}
 }
 
-// TestManyAtOnce: a client sends hundreds of requests at once, and waits for all their answers.
+// TestManyPipelinedRequests: a client sends hundreds of requests at once, and
+// waits for all their responses.
 func TestManyPipelinedRequests(t *testing.T) {
 	const count = 500 // some 45 KiB
-	server, _ := okServer(t)
-	n := startNode(t, server)
+	backend, _ := startOKBackend(t)
+	n := startNode(t, backend)
 	c := n.dial(t)
 	var text strings.Builder
 	for i := range count {
@@ -72,25 +73,26 @@
 		if err != nil {
 			t.Fatalf("request %d: %v", i, err)
 		}
-		if io.Copy(io.Discard, resp.Body); resp.StatusCode != http.StatusOK {
+		io.Copy(io.Discard, resp.Body)
+		if resp.StatusCode != http.StatusOK {
 			t.Fatalf("request %d is answered %d", i, resp.StatusCode)
 		}
 	}
 	c.Close()
-	ahead := &n.frontend.connections.readAheadBytes
-	waitUntil(t, "what is read ahead to be given back", func() bool { return ahead.Load() == 0 })
+	readAheadBytes := &n.frontend.connections.readAheadBytes
+	waitUntil(t, "the end of what is read ahead", func() bool { return readAheadBytes.Load() == 0 })
 	early := n.dial(t)
-	io.WriteString(early, text.String()) // its ids are free again
+	io.WriteString(early, text.String()) // the IDs are not in use any more
 	early.Close()
 	waitUntil(t, "the connection to end", func() bool { return n.frontend.connections.openConnections() == 0 })
-	if left := ahead.Load(); left != 0 {
-		t.Errorf("%d bytes stay counted as read ahead", left)
+	if left := readAheadBytes.Load(); left != 0 {
+		t.Errorf("%d bytes are still counted as read ahead", left)
 	}
 }
 
-// TestNextRequestMayBeLong: a client that has its answer may send a long
-// request before net/http has ended its watch on the connection. That is no
-// breach, and the client has not left.
+// TestLongNextRequest: a client that has its response may send a long request
+// before net/http has ended its watch on the connection. That is allowed, and
+// the client has not left.
 func TestLongNextRequest(t *testing.T) {
 	for _, open := range []bool{false, true} {
 		c, client := connectionPair(t)
@@ -103,22 +105,19 @@
 			t.Fatalf("reads %d bytes, %v", n, err)
 		}
 		if open {
-			receive(t, gone, "the end of a client that does not wait for its answer")
+			receive(t, gone, "the abort of a client that does not wait for its response")
 			continue
 		}
-		paused := func() bool {
+		waitUntil(t, "as much to be read ahead as allowed", func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			return !c.readingAhead && len(c.readAhead) > maxReadAhead
-		}
-		for until := time.Now().Add(testTimeout); !paused() && time.Now().Before(until); {
-			time.Sleep(time.Millisecond) // until as much has been read ahead as may be
-		}
+		})
 		if _, err := io.ReadFull(c, make([]byte, len(long)-1)); err != nil {
-			t.Errorf("of the rest: %v", err)
+			t.Errorf("of what follows: %v", err)
 		}
 		if len(gone) > 0 {
-			t.Error("the client is taken for gone")
+			t.Error("the requests are canceled")
 		}
 	}
 }
--- a/internal/node/response_test.go
+++ b/internal/node/response_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// TestBodiesOfTheLargestSize: a body holds 64 KiB, in a request and in an answer of any form, however it is cut.
+// TestLargestBodies: a body of 64 KiB passes, in a request and in a response of
+// any form, however it is cut.
 func TestLargestBodies(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", maxBodyBytes/16)
 	chunked := func(size int) string {
@@ -32,22 +33,22 @@
 		"shortest chunks":    chunked(1),
 	} {
 		t.Run(name, func(t *testing.T) {
-			came := make(chan int, 1)
-			n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+			received := make(chan int, 1)
+			n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 				req, err := http.ReadRequest(r)
 				if err != nil {
 					return
 				}
 				got, _ := io.Copy(io.Discard, req.Body)
-				came <- int(got)
+				received <- int(got)
 				io.WriteString(c, text)
 			}))
 			a := sendRequest(t, n.request(t, "POST", "pagar", "q", "20", strings.NewReader(body)))
 			if a.status != http.StatusOK || a.body != body {
-				t.Errorf("answer %d with %d bytes, want 200 and %d", a.status, len(a.body), len(body))
+				t.Errorf("status %d with %d bytes, want 200 and %d", a.status, len(a.body), len(body))
 			}
-			if got := receive(t, came, "the request"); got != len(body) {
-				t.Errorf("%d bytes came to the server, want %d", got, len(body))
+			if got := receive(t, received, "the request"); got != len(body) {
+				t.Errorf("%d bytes came to the backend, want %d", got, len(body))
 			}
 		})
 	}
--- a/internal/node/testbackend_test.go
+++ b/internal/node/testbackend_test.go
@@ -1,9 +1,6 @@
 package node
 
 import (
-	"bankshift/balancer"
-	"bankshift/internal/discovery"
-	"bankshift/internal/upstream"
 	"bufio"
 	"context"
 	"encoding/json"
@@ -15,10 +12,17 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"bankshift/balancer"
+	"bankshift/internal/discovery"
+	"bankshift/internal/upstream"
 )
 
-// backendServer runs a server on a loopback port: script gets each connection and its number.
-func backendServer(t *testing.T, script func(number int, c net.Conn, r *bufio.Reader)) string {
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: inflight=7,queue=2\r\n\r\nhi"
+
+// startBackend runs a backend on a loopback port. script serves each connection,
+// which are numbered from 0.
+func startBackend(t *testing.T, script func(number int, c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,10 +45,10 @@
 	return ln.Addr().String()
 }
 
-// answering is a server that answers each request and tells of it.
-func okServer(t *testing.T) (address string, requests chan *http.Request) {
+// startOKBackend starts a backend that answers each request and reports it.
+func startOKBackend(t *testing.T) (address string, requests chan *http.Request) {
 	requests = make(chan *http.Request, 1000)
-	return backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	return startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			req := readRequest(r)
 			if req == nil {
@@ -56,10 +60,11 @@
 	}), requests
 }
 
-// silentServer takes requests and says nothing; gone gets a value when a connection ends.
-func stallingServer(t *testing.T) (address string, got, gone chan string) {
+// startStallingBackend starts a backend that receives requests and never answers. got
+// receives the ID of each, and gone the same when its connection has ended.
+func startStallingBackend(t *testing.T) (address string, got, gone chan string) {
 	got, gone = make(chan string, 100), make(chan string, 100)
-	return backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	return startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		req := readRequest(r)
 		if req == nil {
 			return
@@ -71,10 +76,11 @@
 	}), got, gone
 }
 
-// listening is a server that tells what comes on its connections: a request's id, or "" for an end.
-func recordingServer(t *testing.T) (address string, got chan string) {
+// startRecordingBackend starts a backend that answers each request. got receives the ID
+// of each, and "" when a connection has ended.
+func startRecordingBackend(t *testing.T) (address string, got chan string) {
 	got = make(chan string, 10)
-	return backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	return startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			req := readRequest(r)
 			if req == nil {
@@ -87,7 +93,7 @@
 	}), got
 }
 
-// refusing is an address where nothing listens.
+// refusingAddress returns an address at which nothing listens.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -98,9 +104,7 @@
 	return ln.Addr().String()
 }
 
-const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: inflight=7,queue=2\r\n\r\nhi"
-
-// readRequest reads a request with its body; nil if none comes.
+// readRequest reads a request with its body. It returns nil if the connection ends.
 func readRequest(r *bufio.Reader) *http.Request {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -110,18 +114,18 @@
 	return req
 }
 
-// told is the time that a request tells its server.
+// deadlineOf returns the deadline that a backend has received with a request.
 func deadlineOf(t *testing.T, req *http.Request) time.Duration {
 	t.Helper()
-	wait, err := parseTimeout(req.Header.Get("X-Deadline"))
+	deadline, err := parseTimeout(req.Header.Get("X-Deadline"))
 	if err != nil {
 		t.Errorf("X-Deadline: %v", err)
 	}
-	return wait
+	return deadline
 }
 
-// dialHook is called ahead of each connect of a node's pool. A test can set it
-// while the node runs; an error fails the dial.
+// dialHook is a function that a node's pool calls before each connect. A test can
+// set it while the node runs. An error fails the dial.
 type dialHook struct {
 	hook atomic.Pointer[func(ctx context.Context, address string) error]
 }
@@ -135,8 +139,8 @@
 	return nil
 }
 
-// slowDials makes a pool's connections wait: begun gets a value when one
-// begins to come up, and it does not until release has a value or is closed.
+// blockDials makes a pool's connects wait. begun receives a value when one begins,
+// and it goes on when release has a value or is closed.
 func blockDials(h *dialHook) (begun chan bool, release chan struct{}) {
 	begun, release = make(chan bool, 10), make(chan struct{}, 1)
 	h.set(func(ctx context.Context, _ string) error {
@@ -150,33 +154,33 @@
 	return begun, release
 }
 
-// pooled finds out what a node's pool knows of an endpoint, by an attempt: the
-// address that is dialled, or "" if it knows no such endpoint, and how the
-// attempt ends if the dial ends with dialErr.
+// pooled finds out by an attempt what a node's pool knows of an endpoint: the
+// address that is dialed, or "" if it does not know the endpoint, and the outcome
+// of the attempt if the dial ends with dialErr.
 func (h *dialHook) pooled(t *testing.T, n *Node, name string, dialErr error) (address string, outcome balancer.Outcome) {
 	t.Helper()
-	var directory discovery.Directory // gives an endpoint the same number, also when the node's does not list it
+	var directory discovery.Directory // assigns the same ID as the node's, also to an endpoint that is not listed there
 	directory.Apply(discovery.List{Endpoints: []json.RawMessage{json.RawMessage(endpointJSON(name, "127.0.0.1:1", "ready"))}}, balancer.FullUpdate)
 	id, known := directory.ID(name)
 	if nodeID, listed := n.directory.ID(name); !known || listed && nodeID != id {
-		t.Fatalf("endpoint %s has number %d, and %d in the node", name, id, nodeID)
+		t.Fatalf("endpoint %s has ID %d, and %d in the node", name, id, nodeID)
 	}
-	dialled := make(chan string, 10)
+	dialed := make(chan string, 10)
 	h.set(func(_ context.Context, to string) error {
-		dialled <- to
+		dialed <- to
 		return dialErr
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	outcome = n.pool.Attempt(ctx, ctx, id, getRequest("/api/x")).Outcome
 	select {
-	case address = <-dialled:
+	case address = <-dialed:
 	default:
 	}
 	return address, outcome
 }
 
-// getRequest is a request as an attempt sends it.
+// getRequest returns a request for an attempt.
 func getRequest(path string) *upstream.Request {
 	return &upstream.Request{Method: http.MethodGet, URL: &url.URL{Path: path}, Host: "app.svc", Header: http.Header{"X-Request-Id": {"q"}}}
 }
--- a/internal/node/testclient_test.go
+++ b/internal/node/testclient_test.go
@@ -11,6 +11,8 @@
 	"time"
 )
 
+// request returns a request to the node, without those of the headers that are
+// empty.
 func (n *testNode) request(t *testing.T, method, class, id, deadline string, body io.Reader) *http.Request {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+n.address+"/api/key?a=1", body)
@@ -25,12 +27,13 @@
 	return req
 }
 
-// raw is a client that speaks on one connection.
+// testClient is a client that writes its requests itself, on one connection.
 type testClient struct {
 	*net.TCPConn
-	read *bufio.Reader
+	read *bufio.Reader // of the responses
 }
 
+// dial connects a client to the node, until the test's end.
 func (n *testNode) dial(t *testing.T) testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", n.address)
@@ -42,19 +45,22 @@
 	return testClient{c.(*net.TCPConn), bufio.NewReader(c)}
 }
 
-// askedAt is a connection of a client, with the time at which it was made; one that has spoken has had an answer.
-func (n *testNode) connectAt(t *testing.T, spoken bool) (testClient, time.Time) {
+// connectAt connects a client, and returns since when it is connected. With served
+// it has received a response already.
+func (n *testNode) connectAt(t *testing.T, served bool) (testClient, time.Time) {
 	t.Helper()
-	c, made := n.dial(t), time.Now()
-	if spoken {
+	c := n.dial(t)
+	connectedAt := time.Now()
+	if served {
 		io.WriteString(c, "GET /health/live HTTP/1.1\r\nHost: app.svc\r\n\r\n")
 		if s := c.status(t); s != http.StatusOK {
-			t.Fatalf("answer %d", s)
+			t.Fatalf("status %d", s)
 		}
 	}
-	return c, made
+	return c, connectedAt
 }
 
+// sendGet sends a request that is idempotent if its class is.
 func (c testClient) sendGet(t *testing.T, class, id, deadline string) {
 	t.Helper()
 	if _, err := fmt.Fprintf(c, "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline: %s\r\n\r\n",
@@ -63,7 +69,8 @@
 	}
 }
 
-// order asks for what must not run twice: its attempt is not given up for another one, however slow the machine is.
+// sendPost sends a request that is not idempotent: its attempt is not given up for
+// another one, however slow the machine is.
 func (c testClient) sendPost(t *testing.T, id, deadline string) {
 	t.Helper()
 	if _, err := io.WriteString(c, postText(id, deadline)); err != nil {
@@ -71,22 +78,25 @@
 	}
 }
 
+// status reads a response to its end and returns its status.
 func (c testClient) status(t *testing.T) int {
 	t.Helper()
 	resp, err := http.ReadResponse(c.read, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	io.Copy(io.Discard, resp.Body)
 	return resp.StatusCode
 }
 
+// postText returns a request of a class that is not idempotent.
 func postText(id, deadline string) string {
 	return fmt.Sprintf("POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: pagar\r\nX-Deadline: %s\r\nContent-Length: 0\r\n\r\n",
 		id, deadline)
 }
 
-// requests writes so many requests as a client would that does not wait for answers.
+// pipelinedGets returns requests as a client sends them that does not wait for
+// responses.
 func pipelinedGets(count int) string {
 	var b strings.Builder
 	for i := range count {
@@ -95,16 +105,18 @@
 	return b.String()
 }
 
+// clientResponse is a response as its client received it.
 type clientResponse struct {
 	status int
 	header http.Header
 	body   string
 }
 
+// sendRequest sends a request on a connection of its own and waits for the response.
 func sendRequest(t *testing.T, req *http.Request) clientResponse {
 	t.Helper()
-	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * testTimeout}
-	resp, err := c.Do(req)
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * testTimeout}
+	resp, err := client.Do(req)
 	if err != nil {
 		t.Error(err)
 		return clientResponse{}
--- a/internal/node/testconn_test.go
+++ b/internal/node/testconn_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// faultyListener fails an Accept, or holds it up, as its hook says.
+// faultyListener is a listener whose Accept a hook fails or delays.
 type faultyListener struct {
 	net.Listener
-	before func() error // called ahead of each Accept; an error is Accept's result
+	before func() error // called before each Accept, which returns its error
 }
 
 func (l faultyListener) Accept() (net.Conn, error) {
@@ -21,10 +21,12 @@
 	return l.Listener.Accept()
 }
 
-// lateListener tells of its end only when it is let go.
+// lateListener is a listener whose Accept reports its end only when it is
+// released.
 type lateListener struct {
 	net.Listener
-	closed, release chan struct{}
+	closed  chan struct{} // closed when Accept has seen the end
+	release chan struct{}
 }
 
 func (l lateListener) Accept() (net.Conn, error) {
@@ -36,8 +38,8 @@
 	return c, err
 }
 
-// cutting is a listener whose connections are read in two pieces, the first
-// as long as its number, or byte by byte.
+// splittingListener is a listener whose connections are read in two pieces, the
+// first of which is one byte longer with each connection, or byte by byte.
 type splittingListener struct {
 	net.Listener
 	accepted   atomic.Int64
@@ -46,7 +48,7 @@
 
 type splitConn struct {
 	*net.TCPConn
-	firstPiece int
+	firstPiece int // bytes that are left of it
 	byteByByte bool
 }
 
@@ -70,8 +72,8 @@
 	return n, err
 }
 
-// lateEnds accepts connections of which a reader learns the end only when it is released, as in a process that is held up
-// between the end and its next step.
+// lateEndListener is a listener whose connections report their end only when they
+// are released, as in a process that is held up between the end and its next step.
 type lateEndListener struct {
 	net.Listener
 	release chan struct{}
@@ -98,7 +100,8 @@
 	return n, err
 }
 
-// crossing is a connection on which something happens between a read's call and its bytes.
+// interruptedConn is a connection on which something happens between the call of
+// Read and its bytes.
 type interruptedConn struct {
 	*net.TCPConn
 	beforeRead func()
@@ -106,11 +109,11 @@
 
 func (c interruptedConn) Read(b []byte) (int, error) {
 	c.beforeRead()
-	c.TCPConn.SetReadDeadline(time.Now().Add(testTimeout)) // the bytes came before the deadline did
+	c.TCPConn.SetReadDeadline(time.Now().Add(testTimeout)) // the bytes arrived before the deadline was set
 	return c.TCPConn.Read(b)
 }
 
-// connPair is a node's end and a client's end of one connection.
+// connectionPair returns the node's end and the client's end of a connection.
 func connectionPair(t *testing.T) (*clientConn, net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/testdiscovery_test.go
+++ b/internal/node/testdiscovery_test.go
@@ -11,9 +11,10 @@
 	"testing"
 )
 
-// listServer is a discovery with one list, which it gives to who has another
-// version; watches on it hang. watched gets a value when one begins, gone when it ends.
-func discoveryServer(t *testing.T, index int, entries ...string) (address string, watched, gone chan bool) {
+// startDiscovery starts a discovery with one endpoint list, which it sends to
+// clients with another version. Long polls for its version hang: watched receives a
+// value when one begins, gone when it ends.
+func startDiscovery(t *testing.T, index int, entries ...string) (address string, watched, gone chan bool) {
 	t.Helper()
 	watched, gone = make(chan bool, 100), make(chan bool, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -29,12 +30,13 @@
 	return s.Listener.Addr().String(), watched, gone
 }
 
+// endpointJSON returns an entry of an endpoint list.
 func endpointJSON(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m2","group":3,"status":%q,"weight":1.5,"since_ms":7}`, name, address, status)
 }
 
-// boundPort is a port of the loopback address that refuses connections until
-// listen is called.
+// boundPort returns an address of the loopback interface that refuses connections
+// until listen is called.
 func boundPort(t *testing.T) (address string, listen func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -1,8 +1,6 @@
 package node
 
 import (
-	"bankshift/balancer"
-	"bankshift/internal/upstream"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -13,8 +11,13 @@
 	"sync"
 	"testing"
 	"time"
+
+	"bankshift/balancer"
+	"bankshift/internal/upstream"
 )
 
+// testConfig returns a configuration with one class of each idempotency, whose
+// time limits no test reaches.
 func testConfig(discovery string) Config {
 	return Config{Name: "n0", Discovery: discovery, Seed: 1, MemoryMB: 192, Sockets: 512, Settings: balancer.Settings{
 		Nodes: 1, Zone: "a", Zones: []string{"a"}, MachineTypes: []string{"m2"}, MaxAttempts: 4, CancelAllowed: true, RetryAfterAllowed: true,
@@ -27,93 +30,108 @@
 		}}}
 }
 
-// running is a node under test, with a discovery that knows its servers.
+// testNode is a node that runs in a test.
 type testNode struct {
 	*Node
 	dials           *dialHook // of its pool
-	address         string
+	address         string    // for clients
 	stop            context.CancelFunc
-	endServingPhase func() // ends the time in which a stopped node goes on accepting
-	ended           chan error
+	endServingPhase func()     // ends the first phase of the shutdown
+	ended           chan error // receives the result of Run
 }
 
-func startNode(t *testing.T, servers ...string) *testNode {
+// startNode starts a node, with a discovery that names the backends at these
+// addresses as s-0, s-1 and so on.
+func startNode(t *testing.T, backends ...string) *testNode {
 	t.Helper()
-	return startNodeWith(t, func(*balancer.Settings) {}, servers...)
+	return startNodeWith(t, func(*balancer.Settings) {}, backends...)
 }
 
-// startNodeWith starts a node whose settings are changed first.
-func startNodeWith(t *testing.T, change func(*balancer.Settings), servers ...string) *testNode {
+// startNodeWith is startNode, with changed settings.
+func startNodeWith(t *testing.T, change func(*balancer.Settings), backends ...string) *testNode {
 	t.Helper()
-	return startNodeOn(t, newListener(t), func(c *Config) { change(&c.Settings) }, servers...)
+	return startNodeOn(t, newListener(t), func(c *Config) { change(&c.Settings) }, backends...)
 }
 
-// startNodeOn starts a node on a listener; its configuration is changed first.
-func startNodeOn(t *testing.T, ln net.Listener, change func(*Config), servers ...string) *testNode {
+// startNodeOn is startNode, on a listener and with a changed configuration.
+func startNodeOn(t *testing.T, ln net.Listener, change func(*Config), backends ...string) *testNode {
 	t.Helper()
-	return startNodeWithPool(t, ln, change, func(*upstream.Config) {}, servers...)
+	return startNodeWithPool(t, ln, change, func(*upstream.Config) {}, backends...)
 }
 
-// startNodeResting starts a node whose connections to servers rest for so long after an answer.
-func startNodeResting(t *testing.T, rest time.Duration, change func(*balancer.Settings), servers ...string) *testNode {
+// startNodeResting is startNode, with a rest time of the connections to backends
+// and changed settings.
+func startNodeResting(t *testing.T, rest time.Duration, change func(*balancer.Settings), backends ...string) *testNode {
 	t.Helper()
-	return startNodeWithPool(t, newListener(t), func(c *Config) { change(&c.Settings) }, func(c *upstream.Config) { c.RestTime = rest }, servers...)
+	return startNodeWithPool(t, newListener(t), func(c *Config) { change(&c.Settings) }, func(c *upstream.Config) { c.RestTime = rest }, backends...)
 }
 
-// startNodeWithPool starts a node on a listener; its configuration and that of its pool are changed first.
-func startNodeWithPool(t *testing.T, ln net.Listener, change func(*Config), changePool func(*upstream.Config), servers ...string) *testNode {
+// startNodeWithPool is startNode, on a listener and with a changed configuration
+// and a changed configuration of the pool.
+func startNodeWithPool(t *testing.T, ln net.Listener, change func(*Config), changePool func(*upstream.Config), backends ...string) *testNode {
 	t.Helper()
-	var entries []string
-	for i, s := range servers {
-		entries = append(entries, fmt.Sprintf(`{"name":"s-%d","address":%q,"zone":"a","type":"m2","status":"ready","weight":1}`, i, s))
-	}
-	hung := make(chan struct{})
-	disc := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Query().Get("from") == "" {
-			fmt.Fprintf(w, `{"index":1,"snapshot":true,"endpoints":[%s]}`, strings.Join(entries, ","))
-			return
-		}
-		select {
-		case <-r.Context().Done():
-		case <-hung:
-		}
-	}))
+	discovery, closeDiscovery := startDiscoveryOf(backends)
 	ctx, stop := context.WithCancel(context.Background())
-	cfg := testConfig(disc.Listener.Addr().String())
+	cfg := testConfig(discovery)
 	change(&cfg)
-	n := &testNode{Node: New(cfg, discardLog), address: ln.Addr().String(), stop: stop,
-		ended: make(chan error, 1)}
+	n := &testNode{Node: New(cfg, discardLog), address: ln.Addr().String(), stop: stop, ended: make(chan error, 1)}
 	n.dials = hookDials(n.Node, changePool)
-	lingered := make(chan struct{})
-	n.endServingPhase = sync.OnceFunc(func() { close(lingered) })
-	n.frontend.keepServing = func(func() int) { <-lingered }
-	n.frontend.phases = shutdownPhases{answered: testTimeout, closed: 2 * testTimeout} // tests that want less say so
+	served := make(chan struct{})
+	n.endServingPhase = sync.OnceFunc(func() { close(served) })
+	n.frontend.keepServing = func(func() int) { <-served }
+	n.frontend.phases = shutdownPhases{answered: testTimeout, closed: 2 * testTimeout} // tests that need less set it
 	go func() { n.ended <- n.Run(ctx, ln) }()
 	t.Cleanup(func() {
 		stop()
 		n.endServingPhase()
-		close(hung)
-		disc.Close()
+		closeDiscovery()
 		<-n.Node.loopEnded
 	})
-	for until := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		resp, err := http.Get("http://" + n.address + "/health/ready")
-		if err == nil {
-			resp.Body.Close()
-		}
-		if err == nil && resp.StatusCode == http.StatusOK || len(servers) == 0 {
-			return n
+	if len(backends) > 0 {
+		waitUntil(t, "the node to be ready", n.isReady)
+	}
+	return n
+}
+
+// isReady asks the node whether it is ready.
+func (n *testNode) isReady() bool {
+	resp, err := http.Get("http://" + n.address + "/health/ready")
+	if err != nil {
+		return false
+	}
+	resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
+}
+
+// startDiscoveryOf starts a discovery whose one list names the backends. Long polls
+// hang until close is called.
+func startDiscoveryOf(backends []string) (address string, close func()) {
+	var entries []string
+	for i, address := range backends {
+		entries = append(entries, fmt.Sprintf(`{"name":"s-%d","address":%q,"zone":"a","type":"m2","status":"ready","weight":1}`, i, address))
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Query().Get("from") == "" {
+			fmt.Fprintf(w, `{"index":1,"snapshot":true,"endpoints":[%s]}`, strings.Join(entries, ","))
+			return
 		}
-		if time.Now().After(until) {
-			t.Fatal("the node does not get ready")
+		select {
+		case <-r.Context().Done():
+		case <-ctx.Done():
 		}
+	}))
+	return server.Listener.Addr().String(), func() {
+		cancel()
+		server.Close()
 	}
 }
 
-// startOrdered starts a node that ends in the stages of its own settings; its list names one server.
-func startNodeWithPhases(t *testing.T, cfg Config, ln net.Listener, server string) *testNode {
+// startNodeWithPhases starts a node with the shutdown phases of its own settings.
+// Its configuration names one backend.
+func startNodeWithPhases(t *testing.T, cfg Config, ln net.Listener, backend string) *testNode {
 	t.Helper()
-	cfg.Known.Endpoints = []json.RawMessage{json.RawMessage(endpointJSON("s-0", server, "ready"))}
+	cfg.Known.Endpoints = []json.RawMessage{json.RawMessage(endpointJSON("s-0", backend, "ready"))}
 	ctx, stop := context.WithCancel(context.Background())
 	n := &testNode{Node: New(cfg, discardLog), address: ln.Addr().String(), stop: stop, ended: make(chan error, 1)}
 	go func() { n.ended <- n.Run(ctx, ln) }()
@@ -125,7 +143,8 @@
 	return n
 }
 
-// startConfig starts a node that is told cfg, but for where to listen.
+// startNodeFromConfig starts a node with a configuration, on a listener of its own.
+// Its shutdown has no first phase.
 func startNodeFromConfig(t *testing.T, cfg Config) *testNode {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -144,36 +163,51 @@
 	return n
 }
 
-// held counts the requests that the node holds.
+// openRequests returns how many requests the node holds.
 func (n *testNode) openRequests(t *testing.T) int {
 	t.Helper()
-	held := make(chan int, 1)
-	n.post(func() { held <- len(n.requests) })
-	return receive(t, held, "the loop")
+	open := make(chan int, 1)
+	n.post(func() { open <- len(n.requests) })
+	return receive(t, open, "the loop")
 }
 
-// seize stops the loop, so that the test can run what comes in its place, until free is called.
-func (n *testNode) blockLoop(t *testing.T) (free func()) {
+// unansweredRequests returns how many requests are open and not answered. It runs
+// in the loop.
+func (n *testNode) unansweredRequests() int {
+	count := 0
+	for _, r := range n.requests {
+		if !r.answered {
+			count++
+		}
+	}
+	return count
+}
+
+// blockLoop stops the loop until release is called, so that the test can run in its
+// place what is posted to it.
+func (n *testNode) blockLoop(t *testing.T) (release func()) {
 	t.Helper()
-	seized, freed := make(chan bool), make(chan bool)
+	blocked, released := make(chan bool), make(chan bool)
 	n.post(func() {
-		close(seized)
-		<-freed
+		close(blocked)
+		<-released
 	})
-	free = sync.OnceFunc(func() { close(freed) })
-	t.Cleanup(free) // before the node's end waits for the loop
-	receive(t, seized, "the loop")
-	return free
+	release = sync.OnceFunc(func() { close(released) })
+	t.Cleanup(release) // before the node's end waits for the loop
+	receive(t, blocked, "the loop")
+	return release
 }
 
-// leave closes a client's connection and waits until the node has seen it.
+// disconnect closes the one connection that is open and waits until the node has
+// seen it.
 func (n *testNode) disconnect(t *testing.T, c testClient) {
 	t.Helper()
 	c.Close()
 	waitUntil(t, "the connection's end", func() bool { return n.frontend.connections.openConnections() == 0 })
 }
 
-// mustNotSend has another request sent, behind anything that was sent before it.
+// mustNotSend checks that a backend does not receive a request: it has another one
+// sent, after anything that was sent before.
 func (n *testNode) mustNotSend(t *testing.T, got <-chan string, id string) {
 	t.Helper()
 	c := n.dial(t)
@@ -188,29 +222,47 @@
 	}
 }
 
-// reading counts the connections on which a request's head has been read.
+// connectionsInRequest returns on how many connections the head of a request has
+// been read.
 func (n *testNode) connectionsInRequest() int {
 	n.frontend.connections.mu.Lock()
 	defer n.frontend.connections.mu.Unlock()
 	return n.frontend.connections.slotsInUse - len(n.frontend.connections.idle)
 }
 
-// names waits until the node's list is want.
+// hasReceivedFrom reports whether a part of the next request has been received on a
+// client's idle connection.
+func (n *testNode) hasReceivedFrom(client net.Conn) bool {
+	n.frontend.connections.mu.Lock()
+	defer n.frontend.connections.mu.Unlock()
+	for c := range n.frontend.connections.idle {
+		if c.RemoteAddr().String() == client.LocalAddr().String() {
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			return c.receivedSinceIdle
+		}
+	}
+	return false
+}
+
+// awaitEndpoints waits until the names in the node's directory are want.
 func (n *testNode) awaitEndpoints(t *testing.T, want string) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		got := make(chan string, 1)
 		n.post(func() { got <- fmt.Sprint(n.directory.Names()) })
-		if list := receive(t, got, "the list"); list == want {
+		names := receive(t, got, "the endpoints")
+		if names == want {
 			return
-		} else if time.Now().After(end) {
-			t.Fatalf("the list is %s, want %s", list, want)
+		}
+		if time.Now().After(end) {
+			t.Fatalf("the endpoints are %s, want %s", names, want)
 		}
 	}
 }
 
-// hookDials gives a node that does not run yet a pool with a hook in its
-// dialer; its configuration is changed first.
+// hookDials replaces the pool of a node that does not run yet by one with a hook
+// in its dialer and a changed configuration.
 func hookDials(n *Node, change func(*upstream.Config)) *dialHook {
 	_, connections := n.cfg.Connections()
 	c := upstream.ConfigFor(n.cfg.Settings, connections)
