--- /dev/null
+++ b/balancer/quota_test.go
@@ -0,0 +1,312 @@
+package balancer
+
+import (
+	"fmt"
+	"math"
+	"math/rand"
+	"testing"
+	"time"
+)
+
+// spread returns the part of a tenant's traffic that each of the nodes gets.
+type spread func(nodes int) []float64
+
+// evenly spreads the traffic evenly.
+func evenly(nodes int) []float64 {
+	parts := make([]float64, nodes)
+	for i := range parts {
+		parts[i] = 1 / float64(nodes)
+	}
+	return parts
+}
+
+// hot gives every tenth node, or the first, so many times the mean, and the others what is left.
+func hot(times float64) spread {
+	return func(nodes int) []float64 {
+		parts := evenly(nodes)
+		all := float64(nodes)
+		hotNodes := float64((nodes + 9) / 10)
+		times := math.Min(times, 0.7*all/hotNodes)
+		for i := range parts {
+			if i%10 == 0 {
+				parts[i] *= times
+			} else {
+				parts[i] *= (all - hotNodes*times) / (all - hotNodes)
+			}
+		}
+		return parts
+	}
+}
+
+// onlyOn gives all of the traffic to so many nodes.
+func onlyOn(n int) spread {
+	return func(nodes int) []float64 {
+		parts := make([]float64, nodes)
+		n := min(n, nodes)
+		for i := range n {
+			parts[i*nodes/n] = 1 / float64(n)
+		}
+		return parts
+	}
+}
+
+// tenantLoad is a tenant's quota and traffic.
+type tenantLoad struct {
+	quota   float64 // requests per second
+	offered float64 // requests per second
+	spread  spread
+}
+
+// playQuotas plays so many seconds on a fleet and returns the part of each tenant's requests that are within its quota.
+func playQuotas(seed int64, nodes int, seconds float64, loads []tenantLoad) []float64 {
+	rng := rand.New(rand.NewSource(seed))
+	settings := Settings{Nodes: nodes, Classes: []Class{{
+		Name:             "c",
+		PriorityWeight:   1,
+		LatencyObjective: time.Second,
+		Deadline:         time.Second,
+		Idempotency:      Idempotent,
+	}}}
+	for i, load := range loads {
+		settings.Tenants = append(settings.Tenants, Tenant{Name: fmt.Sprint(i), Quota: load.quota})
+	}
+	within := make([]float64, len(loads))
+	all := make([]float64, len(loads))
+	for index := range nodes {
+		settings.NodeIndex = index
+		node := New(settings, rng.Int63())
+		start := Time(rng.Int63n(1e12))
+		node.Handle(start, EndpointUpdate{Kind: CachedUpdate})
+		placement := node.classOrder[0].placement
+		total := 0.0
+		rates := make([]float64, len(loads))
+		for i, load := range loads {
+			rates[i] = load.offered * load.spread(nodes)[index]
+			total += rates[i]
+		}
+		if total == 0 {
+			continue
+		}
+		for at := rng.ExpFloat64() / total; at < seconds; at += rng.ExpFloat64() / total {
+			i := 0
+			draw := rng.Float64() * total
+			for ; i < len(rates)-1 && draw >= rates[i]; i++ {
+				draw -= rates[i]
+			}
+			before := placement.priorityArrivals
+			arrived := RequestArrived{ID: "r", Class: "c", Tenant: fmt.Sprint(i), Timeout: time.Second}
+			node.Handle(start+Time(at*1e9), arrived)
+			node.openRequests = node.openRequests[:0]
+			all[i]++
+			within[i] += placement.priorityArrivals - before
+		}
+	}
+	for i := range within {
+		within[i] /= math.Max(1, all[i])
+	}
+	return within
+}
+
+// withinEvenParts is the part of a tenant's requests within its quota if each node grants an even part of the quota.
+// The tenant offers so many times its quota, of which each node gets its part.
+func withinEvenParts(parts []float64, times float64) float64 {
+	within := 0.0
+	for _, part := range parts {
+		within += math.Min(part, 1/(times*float64(len(parts))))
+	}
+	return within
+}
+
+// Over a fleet, the part of a tenant's requests within its quota is min(1, quota/offered) to within a tenth, for any
+// quota and number of nodes, if the spread is even or the tenant is on one side of its quota at every node. At other
+// spreads a node cannot know better: a tenant at its quota that is hot here looks like one over its quota everywhere.
+// Then the node's even part of the quota must hold.
+func TestQuotasHoldOverTheFleet(t *testing.T) {
+	for _, s := range []struct {
+		name   string
+		spread spread
+	}{
+		{"even", evenly},
+		{"a tenth of the nodes get twice the mean", hot(2)},
+		{"a tenth get four times the mean", hot(4)},
+		{"on 3 nodes", onlyOn(3)},
+		{"on 1 node", onlyOn(1)},
+	} {
+		t.Logf("%s: within quota/of min(1, quota/offered) at 0.2, 0.5, 1, 2, 5 times the quota", s.name)
+		for _, nodes := range []int{3, 30, 300, 450} {
+			for p, perNode := range []float64{0.01, 1, 10} {
+				quota := perNode * float64(nodes)
+				line := ""
+				for i, times := range []float64{0.2, 0.5, 1, 2, 5} {
+					tokens := math.Max(40, 1500/float64(nodes))
+					load := tenantLoad{quota: quota, offered: times * quota, spread: s.spread}
+					got := playQuotas(int64(10*p+i), nodes, tokens/perNode, []tenantLoad{load})[0]
+					want := math.Min(1, 1/times)
+					possible := withinEvenParts(s.spread(nodes), times)
+					line += fmt.Sprintf("  %.2f/%.2f", got, want)
+					if math.Abs(possible-want) > 0.001 {
+						line += "*"
+					} else if math.Abs(got-want) > 0.1 {
+						t.Errorf("%s, %d nodes, quota %g, offered %g times: %.3f within it, want %.3f",
+							s.name, nodes, quota, times, got, want)
+					}
+					if math.Abs(got-possible) > 0.1 {
+						t.Errorf("%s, %d nodes, quota %g, offered %g times: %.3f within it, %.3f by even parts",
+							s.name, nodes, quota, times, got, possible)
+					}
+				}
+				t.Logf("%4d nodes, quota %6.4g:%s", nodes, quota, line)
+			}
+		}
+	}
+	t.Log("*: impossible, as the tenant is over an even part at some nodes and under it at others")
+}
+
+// A tenant's traffic keeps its priority however small its quota is beside the number of nodes.
+func TestSmallQuotaHolds(t *testing.T) {
+	const quota = 5 // requests per second
+	for _, nodes := range []int{3, 30, 300, 450} {
+		fourFifths := tenantLoad{quota: quota, offered: 4, spread: evenly}
+		if got := playQuotas(1, nodes, 40*float64(nodes)/quota, []tenantLoad{fourFifths})[0]; got < 0.9 {
+			t.Errorf("%d nodes: %.3f of a tenant below its quota of 5/s is within it", nodes, got)
+		}
+		onePerNode := tenantLoad{quota: quota, offered: float64(nodes), spread: evenly}
+		got := playQuotas(1, nodes, 1000, []tenantLoad{onePerNode})[0]
+		want := math.Min(1, quota/float64(nodes))
+		t.Logf("%d nodes, quota 5/s, 1/s at each: %.3f within it, want %.3f", nodes, got, want)
+		if math.Abs(got-want) > 0.1 || got == 0 {
+			t.Errorf("%d nodes: %.3f within quota, want %.3f", nodes, got, want)
+		}
+	}
+}
+
+// A tenant whose quota is 0 is never within it.
+func TestNoQuota(t *testing.T) {
+	if got := playQuotas(1, 3, 100, []tenantLoad{{quota: 0, offered: 3, spread: evenly}})[0]; got != 0 {
+		t.Errorf("%.3f within quota", got)
+	}
+}
+
+// overloadedFleet is one of many nodes at endpoints that are all overloaded, each of which serves two requests a second
+// of this node, one at a time.
+type overloadedFleet struct {
+	node    *Balancer
+	now     Time
+	freeAt  map[EndpointID]Time // when an endpoint is done with what it has
+	pending []pendingOutcome    // in order of their sends
+	sent    int                 // requests so far
+}
+
+type pendingOutcome struct {
+	at      Time
+	outcome AttemptEnded
+}
+
+// deliver hands over the outcomes that are due.
+func (f *overloadedFleet) deliver() {
+	for i := 0; i < len(f.pending); i++ {
+		if due := f.pending[i]; due.at <= f.now {
+			f.pending = append(f.pending[:i], f.pending[i+1:]...)
+			f.node.Handle(f.now, due.outcome)
+			i--
+		}
+	}
+}
+
+// arrive hands over a tenant's request and returns the number of its sends.
+func (f *overloadedFleet) arrive(tenant string) int {
+	const serviceTime, timeout = 500 * time.Millisecond, 2 * time.Second
+	f.sent++
+	id := RequestID(fmt.Sprint(f.sent))
+	endpoints := sends(f.node.Handle(f.now, RequestArrived{ID: id, Class: "c", Tenant: tenant, Timeout: timeout}))
+	for _, endpoint := range endpoints {
+		f.freeAt[endpoint] = max(f.freeAt[endpoint], f.now) + serviceTime
+		at := min(f.freeAt[endpoint], f.now+timeout)
+		outcome := OK
+		if at < f.freeAt[endpoint] {
+			outcome = TimedOut
+		}
+		f.pending = append(f.pending, pendingOutcome{at, AttemptEnded{
+			ID:          id,
+			Endpoint:    endpoint,
+			Elapsed:     at - f.now,
+			Outcome:     outcome,
+			RequestDone: outcome == OK,
+		}})
+	}
+	return len(endpoints)
+}
+
+// If every endpoint is overloaded, a tenant within a quota far smaller than the fleet is served before one over it.
+func TestTenantWithinQuotaIsServedFirst(t *testing.T) {
+	const (
+		within    = "within"
+		over      = "over"
+		endpoints = 10
+		learning  = 20 * time.Second
+		duration  = 120 * time.Second
+	)
+	settings := Settings{
+		Nodes:            300,
+		MaxAttempts:      1,
+		MinEventInterval: time.Millisecond,
+		Classes: []Class{{
+			Name:             "c",
+			PriorityWeight:   1,
+			LatencyObjective: time.Second,
+			Deadline:         2 * time.Second,
+			Idempotency:      Idempotent,
+		}},
+		Tenants: []Tenant{{Name: within, Quota: 150}, {Name: over, Quota: 150}}, // 0.5/s at this node
+	}
+	sent, arrived := map[string]float64{}, map[string]float64{}
+	for seed := int64(1); seed <= 5; seed++ {
+		rng := rand.New(rand.NewSource(seed))
+		fleet := overloadedFleet{node: New(settings, seed), freeAt: map[EndpointID]Time{}}
+		update := EndpointUpdate{Kind: FullUpdate}
+		for i := range endpoints {
+			update.Endpoints = append(update.Endpoints, Endpoint{ID: EndpointID(i + 1), State: Ready})
+		}
+		fleet.node.Handle(0, update)
+		nextTick := tickInterval
+		for ; fleet.now < duration; fleet.now += time.Millisecond {
+			fleet.deliver()
+			if fleet.now >= nextTick {
+				fleet.node.Handle(fleet.now, TimerFired{})
+				nextTick = fleet.now + tickInterval
+			}
+			tenant := ""
+			switch draw := rng.Float64() * 1000; { // per second: 0.3 and 40 requests
+			case draw < 0.3:
+				tenant = within
+			case draw < 40.3:
+				tenant = over
+			default:
+				continue
+			}
+			count := float64(fleet.arrive(tenant))
+			if fleet.now > learning {
+				arrived[tenant]++
+				sent[tenant] += count
+			}
+		}
+	}
+	withinPart, overPart := sent[within]/arrived[within], sent[over]/arrived[over]
+	t.Logf("sent: %.2f of the tenant within its quota, %.2f of the one over it", withinPart, overPart)
+	if withinPart < 0.8 || overPart > 0.7 || withinPart < overPart+0.2 {
+		t.Errorf("sent: %.2f of the tenant within its quota, %.2f of the one over it", withinPart, overPart)
+	}
+}
+
+// BenchmarkShares measures one decision on a quota, with 20,000 tenants.
+func BenchmarkShares(b *testing.B) {
+	const tenants = 20000
+	settings := Settings{Nodes: 450}
+	for i := range tenants {
+		settings.Tenants = append(settings.Tenants, Tenant{Name: fmt.Sprint("tenant-", i), Quota: 1})
+	}
+	node := New(settings, 1)
+	for i := range b.N {
+		node.quotas[settings.Tenants[i*7919%tenants].Name].take(Time(i) * time.Microsecond)
+	}
+}
