--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,12 @@
 // Package node carries out the decisions of package balancer on real sockets: it
 // takes clients' requests, sends them to endpoints, follows the endpoint list and
 // answers each request once, by its deadline.
+//
+// The clients' side is a listener that limits connections (Listen, acceptor,
+// connectionLimiter), connections that can be drained and watched for a client's
+// departure (clientConn), and an HTTP server (frontend). It hands requests to the
+// event loop (Node), which owns the balancer and performs its actions through
+// package upstream.
 package node
 
 import (
@@ -14,6 +20,7 @@
 	"bankshift/internal/upstream"
 )
 
+// eventQueueSize is how many posted functions wait for the loop before post blocks.
 const eventQueueSize = 1024
 
 // Node is one load-balancing proxy node. A single goroutine, the event loop, owns
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -15,11 +15,11 @@
 
 // How the time up to SIGKILL is divided.
 const (
-	lastAnswerMargin = 300 * time.Millisecond // from the last response to SIGKILL: a busy node takes a while to write them
-	exitMargin       = 150 * time.Millisecond // from the node's exit to SIGKILL
-	lateConnectTime  = 450 * time.Millisecond // new connections still arrive for 0.2 to 0.4 s after SIGTERM,
-	minAcceptTime    = 600 * time.Millisecond // and are accepted also by a node that is held up for 0.15 s then
-	lastRequestsTime = time.Second            // for the last requests, once clients are asked to close, if there is time
+	lastResponseMargin = 300 * time.Millisecond // from the last response to SIGKILL: a busy node takes a while to write them
+	exitMargin         = 150 * time.Millisecond // from the node's exit to SIGKILL
+	lateConnectTime    = 450 * time.Millisecond // new connections still arrive for 0.2 to 0.4 s after SIGTERM,
+	minAcceptTime      = 600 * time.Millisecond // and are accepted also by a node that is held up for 0.15 s then
+	lastRequestsTime   = time.Second            // for the last requests, once clients are asked to close, if there is time
 )
 
 const (
@@ -42,7 +42,7 @@
 func newShutdownPhases(longestDeadline time.Duration) shutdownPhases {
 	kill := min(longestDeadline, maxKillDelay) + killSlack
 	p := shutdownPhases{
-		answered: kill - lastAnswerMargin,
+		answered: kill - lastResponseMargin,
 		closed:   kill - exitMargin,
 	}
 	p.keepServing = min(max(lateConnectTime, p.answered-lastRequestsTime), p.answered)
