--- a/internal/lab/hollow/client.go
+++ b/internal/lab/hollow/client.go
@@ -73,7 +73,7 @@
 		tenant = m.tenants[t]
 	}
 	r := &request{id: balancer.RequestID(strconv.Itoa(c.arrival.Number) + "." + strconv.Itoa(c.tries)), client: c, class: c.class,
-		clientDeadline: c.deadline, deadline: c.deadline - node.AnswerMargin}
+		clientDeadline: c.deadline, deadline: c.deadline - node.ResponseMargin}
 	if r.deadline <= m.now {
 		c.tryEnded(tryFailed, 0)
 		return
@@ -114,7 +114,7 @@
 		if wait <= 0 || !m.scenario.Fleet.RetryAfterAllowed {
 			wait = time.Duration(float64(m.scenario.Traffic.Backoff) * (0.5 + m.rng.Float64()))
 		}
-		if m.now+wait+node.AnswerMargin < c.deadline {
+		if m.now+wait+node.ResponseMargin < c.deadline {
 			m.schedule(m.now+wait, c.sendTry)
 			return
 		}
--- /dev/null
+++ b/internal/node/helpers_test.go
@@ -0,0 +1,76 @@
+package node
+
+import (
+	"log/slog"
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// testTimeout limits what a test waits for; a passing test takes far less.
+const testTimeout = 30 * time.Second
+
+var discardLog = slog.New(slog.DiscardHandler)
+
+// receive returns the next value of a channel.
+func receive[T any](t *testing.T, c <-chan T, what string) (v T) {
+	t.Helper()
+	select {
+	case v = <-c:
+	case <-time.After(testTimeout):
+		t.Fatal("waited in vain for " + what)
+	}
+	return v
+}
+
+// waitUntil waits for a condition that no event announces.
+func waitUntil(t *testing.T, what string, holds func() bool) {
+	t.Helper()
+	for until := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(until) {
+			t.Fatal("waited in vain for " + what)
+		}
+	}
+}
+
+// delayVisibly lets so much time pass that it shows in the deadline sent to a
+// backend.
+func delayVisibly() { time.Sleep(60 * time.Millisecond) }
+
+func isTimeout(err error) bool {
+	netErr, ok := err.(net.Error)
+	return ok && netErr.Timeout()
+}
+
+// watchStalls measures the longest time for which this process, node and client
+// alike, was kept from running: a test's measurements are late by that.
+func watchStalls(t *testing.T) (longest func() time.Duration) {
+	const step = 5 * time.Millisecond
+	var longestStall atomic.Int64
+	done := make(chan struct{})
+	t.Cleanup(func() { close(done) })
+	go func() {
+		for last := time.Now(); ; {
+			select {
+			case <-time.After(step):
+			case <-done:
+				return
+			}
+			now := time.Now()
+			longestStall.Store(max(longestStall.Load(), int64(now.Sub(last)-step)))
+			last = now
+		}
+	}()
+	return func() time.Duration { return time.Duration(longestStall.Load()) }
+}
+
+// newListener opens a listener on a free port of the loopback address.
+func newListener(t *testing.T) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return ln
+}
--- /dev/null
+++ b/internal/node/readahead_test.go
@@ -0,0 +1,123 @@
+package node
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+)
+
+// TestReadAheadIsLimited: what is sent after an open request is read only up to
+// a limit.
+func TestReadAheadIsLimited(t *testing.T) {
+	backend, got, gone := startStallingBackend(t)
+	n := startNode(t, backend)
+	c := n.dial(t)
+	c.sendGet(t, "saldo", "q", "60")
+	receive(t, got, "the attempt")
+	go func() {
+		for more := []byte(pipelinedGets(100)); ; {
+			if _, err := c.Write(more); err != nil {
+				return
+			}
+		}
+	}()
+	receive(t, gone, "the attempt's end")
+	if _, err := io.Copy(io.Discard, c.read); isTimeout(err) {
+		t.Error("the connection stays open")
+	}
+}
+
+// TestEarlyRequestIsServed: a client that sends its next requests after an open
+// one is served all of them, one after the other.
+func TestEarlyRequestIsServed(t *testing.T) {
+	release, got := make(chan struct{}), make(chan bool, 30)
+	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		for readRequest(r) != nil {
+			got <- true
+			<-release
+			io.WriteString(c, okResponse)
+		}
+	}))
+	c := n.dial(t)
+	c.sendGet(t, "saldo", "q", "60")
+	receive(t, got, "the attempt")
+	io.WriteString(c, pipelinedGets(1)[:9])
+	io.WriteString(c, pipelinedGets(20)[9:])
+	close(release)
+	for i := range 21 {
+		if s := c.status(t); s != 200 {
+			t.Errorf("request %d is answered %d", i, s)
+		}
+	}
+}
+
+// TestManyPipelinedRequests: a client sends hundreds of requests at once, and
+// waits for all their responses.
+func TestManyPipelinedRequests(t *testing.T) {
+	const count = 500 // some 45 KiB
+	backend, _ := startOKBackend(t)
+	n := startNode(t, backend)
+	c := n.dial(t)
+	var text strings.Builder
+	for i := range count {
+		text.WriteString(postText(fmt.Sprint("q", i), "20"))
+	}
+	go io.WriteString(c, text.String())
+	for i := range count {
+		resp, err := http.ReadResponse(c.read, nil)
+		if err != nil {
+			t.Fatalf("request %d: %v", i, err)
+		}
+		io.Copy(io.Discard, resp.Body)
+		if resp.StatusCode != http.StatusOK {
+			t.Fatalf("request %d is answered %d", i, resp.StatusCode)
+		}
+	}
+	c.Close()
+	readAheadBytes := &n.frontend.connections.readAheadBytes
+	waitUntil(t, "the end of what is read ahead", func() bool { return readAheadBytes.Load() == 0 })
+	early := n.dial(t)
+	io.WriteString(early, text.String()) // the IDs are not in use any more
+	early.Close()
+	waitUntil(t, "the connection to end", func() bool { return n.frontend.connections.openConnections() == 0 })
+	if left := readAheadBytes.Load(); left != 0 {
+		t.Errorf("%d bytes are still counted as read ahead", left)
+	}
+}
+
+// TestLongNextRequest: a client that has its response may send a long request
+// before net/http has ended its watch on the connection. That is allowed, and
+// the client has not left.
+func TestLongNextRequest(t *testing.T) {
+	for _, open := range []bool{false, true} {
+		c, client := connectionPair(t)
+		gone := make(chan bool, 1)
+		c.cancelRequests = func() { gone <- true }
+		c.setRequestOpen(open)
+		long := bytes.Repeat([]byte("x"), 2*maxReadAhead)
+		go client.Write(long)
+		if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil {
+			t.Fatalf("reads %d bytes, %v", n, err)
+		}
+		if open {
+			receive(t, gone, "the abort of a client that does not wait for its response")
+			continue
+		}
+		waitUntil(t, "as much to be read ahead as allowed", func() bool {
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			return !c.readingAhead && len(c.readAhead) > maxReadAhead
+		})
+		if _, err := io.ReadFull(c, make([]byte, len(long)-1)); err != nil {
+			t.Errorf("of what follows: %v", err)
+		}
+		if len(gone) > 0 {
+			t.Error("the requests are canceled")
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/request_test.go
@@ -0,0 +1,101 @@
+package node
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"bankshift/balancer"
+)
+
+// TestDeadlineWatchdog: a request that the balancer has lost is answered all
+// the same.
+func TestDeadlineWatchdog(t *testing.T) {
+	backend, got, gone := startStallingBackend(t)
+	n := startNode(t, backend)
+	responses := make(chan clientResponse, 1)
+	go func() { responses <- sendRequest(t, n.request(t, "GET", "saldo", "q", "60", nil)) }()
+	receive(t, got, "the attempt")
+	n.post(func() {
+		n.balancer = balancer.New(n.cfg.Settings, 1)
+		n.requests["q"].watchdog.Reset(0)
+	})
+	if a := receive(t, responses, "the response"); a.status != http.StatusGatewayTimeout {
+		t.Errorf("response %+v, want 504", a)
+	}
+	receive(t, gone, "the attempt's end")
+}
+
+// TestAnsweredByDeadline: a request whose backend does not answer fails at its
+// deadline.
+func TestAnsweredByDeadline(t *testing.T) {
+	backend, _, gone := startStallingBackend(t)
+	n := startNode(t, backend)
+	began := time.Now()
+	got := sendRequest(t, n.request(t, "POST", "pagar", "q", "2", strings.NewReader("x")))
+	if got.status != http.StatusBadGateway || time.Since(began) < 1500*time.Millisecond {
+		t.Errorf("response %+v after %v, want a failure at the deadline", got, time.Since(began))
+	}
+	receive(t, gone, "the attempt's end")
+}
+
+// TestRejectedAtOnce: a request that no backend can take is rejected long
+// before its deadline, with a time to retry after.
+func TestRejectedAtOnce(t *testing.T) {
+	n := startNode(t, refusingAddress(t))
+	began := time.Now()
+	got := sendRequest(t, n.request(t, "POST", "pagar", "q", "600", strings.NewReader("x")))
+	if got.status != http.StatusServiceUnavailable || time.Since(began) > testTimeout {
+		t.Errorf("response %+v after %v, want a rejection at once", got, time.Since(began))
+	}
+	if wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64); err != nil || wait <= 0 || wait > 2 {
+		t.Errorf("Retry-After %q, want up to 2 s", got.header.Get("Retry-After"))
+	}
+}
+
+// TestSameIDTwice: two requests with the same ID must not receive each other's
+// responses.
+func TestSameIDTwice(t *testing.T) {
+	release, got := make(chan struct{}), make(chan bool, 2)
+	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		if readRequest(r) != nil {
+			got <- true
+			<-release
+			io.WriteString(c, okResponse)
+		}
+	}))
+	first := make(chan clientResponse, 1)
+	go func() { first <- sendRequest(t, n.request(t, "GET", "saldo", "q", "60", nil)) }()
+	receive(t, got, "the attempt")
+	if a := sendRequest(t, n.request(t, "GET", "saldo", "q", "60", nil)); a.status != http.StatusConflict {
+		t.Errorf("the second: %+v, want 409", a)
+	}
+	close(release)
+	if a := receive(t, first, "the response"); a.status != 200 {
+		t.Errorf("the first: %+v, want 200", a)
+	}
+}
+
+// TestRejectedAtMaxOpenRequests: a request beyond the open ones that the
+// settings allow is rejected at once, with the time to retry after if clients
+// may be told one.
+func TestRejectedAtMaxOpenRequests(t *testing.T) {
+	for _, retryAfterAllowed := range []bool{true, false} {
+		backend, got, _ := startStallingBackend(t)
+		n := startNodeWith(t, func(s *balancer.Settings) { s.MaxOpenRequests, s.RetryAfterAllowed = 1, retryAfterAllowed }, backend)
+		c := n.dial(t)
+		c.sendGet(t, "saldo", "q", "60")
+		receive(t, got, "the attempt")
+		a := sendRequest(t, n.request(t, "GET", "saldo", "r", "60", nil))
+		after, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
+		advised := err == nil && after > 0 && after <= n.cfg.Settings.MaxRetryAfter.Seconds()
+		if a.status != http.StatusServiceUnavailable || advised != retryAfterAllowed {
+			t.Errorf("Retry-After allowed %v: status %d with Retry-After %q", retryAfterAllowed, a.status, a.header.Get("Retry-After"))
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/testbackend_test.go
@@ -0,0 +1,186 @@
+package node
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"io"
+	"net"
+	"net/http"
+	"net/url"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"bankshift/balancer"
+	"bankshift/internal/discovery"
+	"bankshift/internal/upstream"
+)
+
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: inflight=7,queue=2\r\n\r\nhi"
+
+// startBackend runs a backend on a loopback port. script serves each connection,
+// which are numbered from 0.
+func startBackend(t *testing.T, script func(number int, c net.Conn, r *bufio.Reader)) string {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for i := 0; ; i++ {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			c.SetDeadline(time.Now().Add(3 * testTimeout)) // a test that waits for the other side fails first
+			go func() {
+				defer c.Close()
+				script(i, c, bufio.NewReader(c))
+			}()
+		}
+	}()
+	return ln.Addr().String()
+}
+
+// startOKBackend starts a backend that answers each request and reports it.
+func startOKBackend(t *testing.T) (address string, requests chan *http.Request) {
+	requests = make(chan *http.Request, 1000)
+	return startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		for {
+			req := readRequest(r)
+			if req == nil {
+				return
+			}
+			requests <- req
+			io.WriteString(c, okResponse)
+		}
+	}), requests
+}
+
+// startStallingBackend starts a backend that receives requests and never answers. got
+// receives the ID of each, and gone the same when its connection has ended.
+func startStallingBackend(t *testing.T) (address string, got, gone chan string) {
+	got, gone = make(chan string, 100), make(chan string, 100)
+	return startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		req := readRequest(r)
+		if req == nil {
+			return
+		}
+		id := req.Header.Get("X-Request-Id")
+		got <- id
+		r.ReadByte()
+		gone <- id
+	}), got, gone
+}
+
+// startRecordingBackend starts a backend that answers each request. got receives the ID
+// of each, and "" when a connection has ended.
+func startRecordingBackend(t *testing.T) (address string, got chan string) {
+	got = make(chan string, 10)
+	return startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		for {
+			req := readRequest(r)
+			if req == nil {
+				got <- ""
+				return
+			}
+			got <- req.Header.Get("X-Request-Id")
+			io.WriteString(c, okResponse)
+		}
+	}), got
+}
+
+// refusingAddress returns an address at which nothing listens.
+func refusingAddress(t *testing.T) string {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln.Close()
+	return ln.Addr().String()
+}
+
+// readRequest reads a request with its body. It returns nil if the connection ends.
+func readRequest(r *bufio.Reader) *http.Request {
+	req, err := http.ReadRequest(r)
+	if err != nil {
+		return nil
+	}
+	io.Copy(io.Discard, req.Body)
+	return req
+}
+
+// deadlineOf returns the deadline that a backend has received with a request.
+func deadlineOf(t *testing.T, req *http.Request) time.Duration {
+	t.Helper()
+	deadline, err := parseTimeout(req.Header.Get("X-Deadline"))
+	if err != nil {
+		t.Errorf("X-Deadline: %v", err)
+	}
+	return deadline
+}
+
+// dialHook is a function that a node's pool calls before each connect. A test can
+// set it while the node runs. An error fails the dial.
+type dialHook struct {
+	hook atomic.Pointer[func(ctx context.Context, address string) error]
+}
+
+func (h *dialHook) set(hook func(ctx context.Context, address string) error) { h.hook.Store(&hook) }
+
+func (h *dialHook) control(ctx context.Context, _, address string, _ syscall.RawConn) error {
+	if hook := h.hook.Load(); hook != nil {
+		return (*hook)(ctx, address)
+	}
+	return nil
+}
+
+// blockDials makes a pool's connects wait. begun receives a value when one begins,
+// and it goes on when release has a value or is closed.
+func blockDials(h *dialHook) (begun chan bool, release chan struct{}) {
+	begun, release = make(chan bool, 10), make(chan struct{}, 1)
+	h.set(func(ctx context.Context, _ string) error {
+		begun <- true
+		select {
+		case <-release:
+		case <-ctx.Done():
+		}
+		return nil
+	})
+	return begun, release
+}
+
+// pooled finds out by an attempt what a node's pool knows of an endpoint: the
+// address that is dialed, or "" if it does not know the endpoint, and the outcome
+// of the attempt if the dial ends with dialErr.
+func (h *dialHook) pooled(t *testing.T, n *Node, name string, dialErr error) (address string, outcome balancer.Outcome) {
+	t.Helper()
+	var directory discovery.Directory // assigns the same ID as the node's, also to an endpoint that is not listed there
+	directory.Apply(discovery.List{Endpoints: []json.RawMessage{json.RawMessage(endpointJSON(name, "127.0.0.1:1", "ready"))}}, balancer.FullUpdate)
+	id, known := directory.ID(name)
+	if nodeID, listed := n.directory.ID(name); !known || listed && nodeID != id {
+		t.Fatalf("endpoint %s has ID %d, and %d in the node", name, id, nodeID)
+	}
+	dialed := make(chan string, 10)
+	h.set(func(_ context.Context, to string) error {
+		dialed <- to
+		return dialErr
+	})
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
+	defer cancel()
+	outcome = n.pool.Attempt(ctx, ctx, id, getRequest("/api/x")).Outcome
+	select {
+	case address = <-dialed:
+	default:
+	}
+	return address, outcome
+}
+
+// getRequest returns a request for an attempt.
+func getRequest(path string) *upstream.Request {
+	return &upstream.Request{Method: http.MethodGet, URL: &url.URL{Path: path}, Host: "app.svc", Header: http.Header{"X-Request-Id": {"q"}}}
+}
