--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,18 +7,31 @@
 	"bankshift/balancer"
 )
 
-// A node asks the module where a request goes, with no wire in between.
+// A node hands an arrived request to its balancer and carries out the actions.
 func Example() {
-	m := balancer.New(balancer.Settings{
-		Nodes: 1, MaxAttempts: 3, SlowStartCapacity: 0.5, SlowStartDuration: 5 * time.Second,
-		Classes: []balancer.Class{{Name: "page", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 2 * time.Second, Idempotency: balancer.Idempotent}},
+	node := balancer.New(balancer.Settings{
+		Nodes:             1,
+		MaxAttempts:       3,
+		SlowStartCapacity: 0.5,
+		SlowStartDuration: 5 * time.Second,
+		Classes: []balancer.Class{{
+			Name:             "page",
+			PriorityWeight:   1,
+			LatencyObjective: time.Second,
+			Deadline:         2 * time.Second,
+			Idempotency:      balancer.Idempotent,
+		}},
 	}, 1)
-	clock := 10 * time.Second
-	m.Handle(clock, balancer.EndpointUpdate{Kind: balancer.CachedUpdate, Endpoints: []balancer.Endpoint{{ID: 7, State: balancer.Ready}}})
-	for _, a := range m.Handle(clock, balancer.RequestArrived{ID: "r1", Class: "page", Timeout: time.Second}) {
-		if s, ok := a.(balancer.Send); ok {
-			fmt.Printf("send %s to server %d for %v\n", s.ID, s.Endpoint, s.Timeout)
+	now := 10 * time.Second
+	node.Handle(now, balancer.EndpointUpdate{
+		Kind:      balancer.CachedUpdate,
+		Endpoints: []balancer.Endpoint{{ID: 7, State: balancer.Ready}},
+	})
+	actions := node.Handle(now, balancer.RequestArrived{ID: "r1", Class: "page", Timeout: time.Second})
+	for _, action := range actions {
+		if send, ok := action.(balancer.Send); ok {
+			fmt.Printf("send %s to endpoint %d with timeout %v\n", send.ID, send.Endpoint, send.Timeout)
 		}
 	}
-	// Output: send r1 to server 7 for 1s
+	// Output: send r1 to endpoint 7 with timeout 1s
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -9,22 +9,27 @@
 	"bankshift/balancer"
 )
 
-const testRate = 60 // arrivals a second
+// mutation breaks the actions of one event.
+type mutation func(*world, []balancer.Action) []balancer.Action
 
-func play(seed int64, length time.Duration, mutate func(*world, []balancer.Action) []balancer.Action) *world {
+// play plays a world for some time, and then until all deadlines have passed.
+func play(seed int64, duration time.Duration, mutate mutation) *world {
+	const rate = 60 // arrivals per second
 	w := newWorld(seed)
-	w.capacity, w.mutate = testRate/3, mutate
-	w.run(length, testRate, true)
-	w.run(12*time.Second, 0, false) // let all deadlines pass
+	w.capacity = rate / 3
+	w.mutate = mutate
+	w.run(duration, rate, true)
+	w.run(12*time.Second, 0, false)
 	return w
 }
 
-// TestRulesUnderRandomEvents drives the module through arbitrary legal orders of events and settings.
+// The rules hold in any legal order of events, with any settings.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
-		w := play(seed, 15*time.Second, nil)
-		if len(w.broken) > 0 {
-			t.Fatalf("seed %d: %d faults, the first:\n%s", seed, len(w.broken), strings.Join(w.broken[:min(5, len(w.broken))], "\n"))
+		violations := play(seed, 15*time.Second, nil).violations
+		if len(violations) > 0 {
+			first := violations[:min(5, len(violations))]
+			t.Fatalf("seed %d: %d violations, the first:\n%s", seed, len(violations), strings.Join(first, "\n"))
 		}
 	}
 }
@@ -34,162 +39,153 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed int64) {
-		if w := play(seed, 5*time.Second, nil); len(w.broken) > 0 {
-			t.Fatal(w.broken[0])
+		if w := play(seed, 5*time.Second, nil); len(w.violations) > 0 {
+			t.Fatal(w.violations[0])
 		}
 	})
 }
 
-// TestSameEventsSameActions plays recorded events to a second module.
+// Two balancers that handle the same events return the same actions.
 func TestSameEventsSameActions(t *testing.T) {
-	w := newWorld(7)
-	w.run(10*time.Second, testRate, false)
-	again := newWorld(7)
-	again.run(10*time.Second, testRate, false)
-	if len(w.actions) < 500 || len(w.actions) != len(again.actions) {
-		t.Fatalf("%d and %d steps", len(w.actions), len(again.actions))
+	playActions := func() []string {
+		w := newWorld(7)
+		w.run(10*time.Second, 60, false)
+		return w.actions
 	}
-	for i := range w.actions {
-		if w.actions[i] != again.actions[i] {
-			t.Fatalf("step %d: %s, then %s", i, w.actions[i], again.actions[i])
+	first, again := playActions(), playActions()
+	if len(first) < 500 || len(first) != len(again) {
+		t.Fatalf("%d and %d events", len(first), len(again))
+	}
+	for i := range first {
+		if first[i] != again[i] {
+			t.Fatalf("event %d: %s, then %s", i, first[i], again[i])
 		}
 	}
 }
 
-// TestCheckerCatches breaks the module's answers in each way that the rules forbid.
-func TestCheckerCatches(t *testing.T) {
-	each := func(change func(*world, balancer.Action) []balancer.Action) func(*world, []balancer.Action) []balancer.Action {
-		return func(w *world, in []balancer.Action) (out []balancer.Action) {
-			for _, a := range in {
-				out = append(out, change(w, a)...)
-			}
-			return out
+// mutateEach breaks actions one by one.
+func mutateEach(change func(*world, balancer.Action) []balancer.Action) mutation {
+	return func(w *world, actions []balancer.Action) []balancer.Action {
+		var changed []balancer.Action
+		for _, action := range actions {
+			changed = append(changed, change(w, action)...)
 		}
+		return changed
 	}
-	other := func(w *world, s balancer.Send) balancer.Send {
-		for _, id := range w.ids {
-			if l := w.servers[id]; id != s.Endpoint && l.drainTold == 0 {
-				s.Endpoint = id
-				return s
+}
+
+// mutateSends replaces each Send.
+func mutateSends(change func(*world, balancer.Send) []balancer.Action) mutation {
+	return mutateEach(func(w *world, action balancer.Action) []balancer.Action {
+		if send, ok := action.(balancer.Send); ok {
+			return change(w, send)
+		}
+		return []balancer.Action{action}
+	})
+}
+
+// redirectSends sends each attempt to the last listed endpoint for which the condition holds.
+func redirectSends(condition func(*world, *worldEndpoint) bool) mutation {
+	return mutateSends(func(w *world, send balancer.Send) []balancer.Action {
+		for _, id := range w.endpointIDs {
+			if condition(w, w.endpoints[id]) {
+				send.Endpoint = id
 			}
 		}
-		return s
+		return []balancer.Action{send}
+	})
+}
+
+// toAnother returns the attempt with another endpoint that is ready.
+func toAnother(w *world, send balancer.Send) balancer.Send {
+	for _, id := range w.endpointIDs {
+		if id != send.Endpoint && w.endpoints[id].notReadySince == 0 {
+			send.Endpoint = id
+			return send
+		}
 	}
+	return send
+}
+
+// sendTwice sends each attempt to another endpoint as well.
+var sendTwice = mutateSends(func(w *world, send balancer.Send) []balancer.Action {
+	return []balancer.Action{send, toAnother(w, send)}
+})
+
+// The checks of the world find each kind of violation: here actions are broken in each way that the rules forbid.
+func TestViolationsAreFound(t *testing.T) {
 	for _, c := range []struct {
-		want   string
-		change func(w *world, a balancer.Action) []balancer.Action
+		want   string // part of the violation
+		mutate mutation
 	}{
-		{"no answer in time", func(w *world, a balancer.Action) []balancer.Action {
-			switch a.(type) {
+		{"no answer in time", mutateEach(func(_ *world, action balancer.Action) []balancer.Action {
+			switch action.(type) {
 			case balancer.Fail, balancer.Reject:
 				return nil
 			}
-			return []balancer.Action{a}
-		}},
-		{"second final answer", func(w *world, a balancer.Action) []balancer.Action {
-			if f, ok := a.(balancer.Fail); ok {
-				return []balancer.Action{a, f}
-			}
-			return []balancer.Action{a}
-		}},
-		{"never listed", func(w *world, a balancer.Action) []balancer.Action {
-			if s, ok := a.(balancer.Send); ok {
-				s.Endpoint = 12345
-				return []balancer.Action{s}
-			}
-			return []balancer.Action{a}
-		}},
-		{"drains or is gone", func(w *world, a balancer.Action) []balancer.Action {
-			if s, ok := a.(balancer.Send); ok {
-				for _, id := range w.ids {
-					if w.servers[id].drainTold > 0 {
-						s.Endpoint = id
-					}
-				}
-				return []balancer.Action{s}
-			}
-			return []balancer.Action{a}
-		}},
-		{"unsafe request sent again", func(w *world, a balancer.Action) []balancer.Action {
-			if s, ok := a.(balancer.Send); ok {
-				return []balancer.Action{a, other(w, s)}
-			}
-			return []balancer.Action{a}
-		}},
-		{"two attempts out", func(w *world, a balancer.Action) []balancer.Action {
-			if s, ok := a.(balancer.Send); ok {
-				return []balancer.Action{a, other(w, s)}
-			}
-			return []balancer.Action{a}
-		}},
-		{"outside its group or window", func(w *world, a balancer.Action) []balancer.Action {
-			if s, ok := a.(balancer.Send); ok {
-				return []balancer.Action{a, other(w, s)}
-			}
-			return []balancer.Action{a}
-		}},
-		{"attempts", func(w *world, a balancer.Action) []balancer.Action {
-			if s, ok := a.(balancer.Send); ok {
-				return []balancer.Action{a, s, s, s, s, s}
-			}
-			return []balancer.Action{a}
-		}},
-		{"for a request that is over", func(w *world, a balancer.Action) []balancer.Action {
-			if r, ok := a.(balancer.Reject); ok {
-				return []balancer.Action{a, balancer.Send{ID: r.ID, Endpoint: w.ids[0]}}
-			}
-			return []balancer.Action{a}
-		}},
-		{"refused although", func(w *world, a balancer.Action) []balancer.Action {
-			if f, ok := a.(balancer.Fail); ok {
-				return []balancer.Action{balancer.Reject{ID: f.ID}}
-			}
-			return []balancer.Action{a}
-		}},
-		{"its budget is", func(w *world, a balancer.Action) []balancer.Action {
-			if s, ok := a.(balancer.Send); ok {
-				for _, id := range w.ids {
-					if l := w.servers[id]; l.startTold && l.drainTold == 0 && w.now-l.StartedAt < 2*time.Second {
-						s.Endpoint = id
-					}
-				}
-				return []balancer.Action{s}
-			}
-			return []balancer.Action{a}
-		}},
-		{"not open to", func(w *world, a balancer.Action) []balancer.Action {
-			if s, ok := a.(balancer.Send); ok {
-				s = other(w, s)
-				return []balancer.Action{s}
-			}
-			return []balancer.Action{a}
-		}},
-		{"left open", func(w *world, a balancer.Action) []balancer.Action {
-			if _, ok := a.(balancer.CloseIdleConnections); ok {
+			return []balancer.Action{action}
+		})},
+		{"second final answer", mutateEach(func(_ *world, action balancer.Action) []balancer.Action {
+			if fail, ok := action.(balancer.Fail); ok {
+				return []balancer.Action{action, fail}
+			}
+			return []balancer.Action{action}
+		})},
+		{"never listed", mutateSends(func(_ *world, send balancer.Send) []balancer.Action {
+			send.Endpoint = 12345
+			return []balancer.Action{send}
+		})},
+		{"drains or was removed", redirectSends(func(_ *world, endpoint *worldEndpoint) bool {
+			return endpoint.notReadySince > 0
+		})},
+		{"not idempotent sent again", sendTwice},
+		{"two attempts in flight", sendTwice},
+		{"outside its scope or window", sendTwice},
+		{"more than", mutateSends(func(_ *world, send balancer.Send) []balancer.Action {
+			return []balancer.Action{send, send, send, send, send, send}
+		})},
+		{"for a request that is over", mutateEach(func(w *world, action balancer.Action) []balancer.Action {
+			if reject, ok := action.(balancer.Reject); ok {
+				return []balancer.Action{action, balancer.Send{ID: reject.ID, Endpoint: w.endpointIDs[0]}}
+			}
+			return []balancer.Action{action}
+		})},
+		{"rejected although", mutateEach(func(_ *world, action balancer.Action) []balancer.Action {
+			if fail, ok := action.(balancer.Fail); ok {
+				return []balancer.Action{balancer.Reject{ID: fail.ID}}
+			}
+			return []balancer.Action{action}
+		})},
+		{"its budget is", redirectSends(func(w *world, endpoint *worldEndpoint) bool {
+			young := w.now-endpoint.StartedAt < 2*time.Second
+			return endpoint.startKnown && endpoint.notReadySince == 0 && young
+		})},
+		{"not allowed for", mutateSends(func(w *world, send balancer.Send) []balancer.Action {
+			return []balancer.Action{toAnother(w, send)}
+		})},
+		{"left open", mutateEach(func(_ *world, action balancer.Action) []balancer.Action {
+			if _, ok := action.(balancer.CloseIdleConnections); ok {
 				return nil
 			}
-			return []balancer.Action{a}
-		}},
-		{"cancel", func(w *world, a balancer.Action) []balancer.Action {
-			if s, ok := a.(balancer.Send); ok {
-				return []balancer.Action{a, balancer.CancelAttempt{ID: s.ID, Attempt: 9}}
-			}
-			return []balancer.Action{a}
-		}},
-		{"forbidden probe", func(w *world, a balancer.Action) []balancer.Action {
-			return []balancer.Action{a, balancer.HealthCheck{Endpoint: w.ids[0]}}
-		}},
-		{"forbidden message", func(w *world, a balancer.Action) []balancer.Action {
-			return []balancer.Action{a, balancer.SendMessage{ToAll: true}}
-		}},
+			return []balancer.Action{action}
+		})},
+		{"cancel", mutateSends(func(_ *world, send balancer.Send) []balancer.Action {
+			return []balancer.Action{send, balancer.CancelAttempt{ID: send.ID, Attempt: 9}}
+		})},
+		{"forbidden health check", mutateEach(func(w *world, action balancer.Action) []balancer.Action {
+			return []balancer.Action{action, balancer.HealthCheck{Endpoint: w.endpointIDs[0]}}
+		})},
+		{"forbidden message", mutateEach(func(_ *world, action balancer.Action) []balancer.Action {
+			return []balancer.Action{action, balancer.SendMessage{ToAll: true}}
+		})},
 	} {
 		found := false
 		for seed := int64(1); seed <= 25 && !found; seed++ {
-			w := play(seed, 10*time.Second, each(c.change))
-			found = strings.Contains(fmt.Sprint(w.broken), c.want)
+			w := play(seed, 10*time.Second, c.mutate)
+			found = strings.Contains(fmt.Sprint(w.violations), c.want)
 		}
 		if !found {
-			t.Errorf("a module broken so that %q was not caught", c.want)
+			t.Errorf("actions broken so that %q were not found", c.want)
 		}
 	}
 }
--- a/balancer/world_test.go
+++ b/balancer/world_test.go
@@ -1,457 +1,348 @@
 package balancer_test
 
-// A small world that drives the module through legal but unkind events, and an independent checker of the
-// rules. Nothing here uses the module's own code beyond its interface.
-
 import (
 	"fmt"
 	"math/rand"
 	"slices"
-	"sort"
 	"time"
 
 	"bankshift/balancer"
 )
 
-type sentAttempt struct {
-	server balancer.EndpointID
-	at     time.Duration
-	ended  bool
-	code   balancer.Outcome
-}
+// world drives one Balancer through legal but unkind events, drawn at random, and checks the rules on each action with
+// code of its own: nothing here uses more of the package than its interface.
+type world struct {
+	settings balancer.Settings
+	capacity float64 // requests per second, of a warm endpoint, that this node may send it
+	rng      *rand.Rand
+	balancer *balancer.Balancer
+	mutate   func(*world, []balancer.Action) []balancer.Action // breaks the balancer's actions; nil: left as they are
+
+	now      time.Duration
+	queue    []futureEvent
+	order    int // of the last event that was scheduled
+	lastName int // used in the IDs of requests and endpoints
+
+	requests    map[balancer.RequestID]*worldRequest
+	endpoints   map[balancer.EndpointID]*worldEndpoint
+	endpointIDs []balancer.EndpointID // in order of their listing
+	sentAt      map[balancer.EndpointID][]time.Duration
 
-type liveRequest struct {
-	class    balancer.Class
-	deadline time.Duration
-	attempts []sentAttempt
-	final    bool
-	stream   bool
+	actions    []string // for each event, as text
+	violations []string // of the rules
 }
 
-type listed struct {
-	balancer.Endpoint
-	drainTold time.Duration // when the node was told that it drains or is gone; 0: it is ready
-	startTold bool
-	used      time.Duration // the last notice of a drain, send or outcome; 0: none since the last CloseIdle
+// worldRequest is a request as the world knows it.
+type worldRequest struct {
+	class     balancer.Class
+	deadline  time.Duration
+	attempts  []worldAttempt
+	answered  bool // it has its final answer, or needs none
+	streaming bool
 }
 
-type pending struct {
-	at    time.Duration
-	order int
-	event balancer.Event
-	id    balancer.RequestID
+type worldAttempt struct {
+	endpoint balancer.EndpointID
+	sentAt   time.Duration
+	ended    bool
+	outcome  balancer.Outcome
 }
 
-type world struct {
-	set      balancer.Settings
-	r        *rand.Rand
-	now      time.Duration
-	queue    []pending
-	order    int
-	requests map[balancer.RequestID]*liveRequest
-	servers  map[balancer.EndpointID]*listed
-	ids      []balancer.EndpointID
-	sends    map[balancer.EndpointID][]time.Duration
-	capacity float64 // requests a second that this node's share of a warm server can do
-	module   *balancer.Balancer
-	mutate   func(w *world, a []balancer.Action) []balancer.Action
-	events   []balancer.Event
-	times    []time.Duration
-	actions  []string
-	broken   []string
-	next     int
+// neverRan reports whether the outcome proves that the attempt never ran.
+func (a worldAttempt) neverRan() bool {
+	return a.ended && (a.outcome == balancer.Rejected || a.outcome == balancer.ConnectFailed || a.outcome == balancer.NotSent)
 }
 
-func (w *world) fault(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
+// worldEndpoint is an endpoint as the node was last told of it.
+type worldEndpoint struct {
+	balancer.Endpoint
+	notReadySince time.Duration // when the node was told that it drains or was removed; 0: it is ready
+	startKnown    bool          // the node was told of its start
+	usedAt        time.Duration // last send, outcome, or update that it drains; 0: none since its connections were closed
 }
 
-func (w *world) later(d time.Duration, p pending) {
-	w.order++
-	p.at, p.order = w.now+max(d, w.set.MinEventInterval), w.order
-	w.queue = append(w.queue, p)
+// futureEvent is an event that the node will be handed.
+type futureEvent struct {
+	at    time.Duration
+	order int // of events at the same time
+	event balancer.Event
 }
 
-func (w *world) handle(e balancer.Event) {
-	w.events, w.times = append(w.events, e), append(w.times, w.now)
-	actions := w.module.Handle(w.now, e)
-	w.actions = append(w.actions, fmt.Sprintf("%#v", actions))
-	if w.mutate != nil {
-		actions = w.mutate(w, actions)
+// newWorld draws the settings and starts the node.
+func newWorld(seed int64) *world {
+	w := &world{
+		rng:       rand.New(rand.NewSource(seed)),
+		now:       time.Hour,
+		endpoints: map[balancer.EndpointID]*worldEndpoint{},
+		sentAt:    map[balancer.EndpointID][]time.Duration{},
 	}
-	for _, a := range actions {
-		w.carryOut(a)
+	w.settings = w.drawSettings()
+	for range 1 + w.rng.Intn(4) {
+		w.settings.Classes = append(w.settings.Classes, w.drawClass(fmt.Sprint("c", len(w.settings.Classes))))
 	}
+	if w.rng.Intn(3) == 0 {
+		w.settings.Tenants = []balancer.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
+	}
+	w.start()
+	return w
 }
 
-// sameGroup is the checker's own reading of the scopes.
-func sameGroup(s balancer.DeduplicationScope, a, b *listed) bool {
-	return s == balancer.DeduplicatedByFleet || s == balancer.DeduplicatedByZone && a.Zone == b.Zone || s == balancer.DeduplicatedByCell && a.Cell == b.Cell
+// drawDuration draws a whole number of milliseconds, at least low and less than high.
+func (w *world) drawDuration(low, high int) time.Duration {
+	return time.Duration(low+w.rng.Intn(high-low)) * time.Millisecond
 }
 
-func neverRan(c balancer.Outcome) bool {
-	return c == balancer.Rejected || c == balancer.ConnectFailed || c == balancer.NotSent
-}
+func (w *world) drawBool() bool { return w.rng.Intn(2) == 0 }
 
-func (w *world) checkSend(q *liveRequest, a balancer.Send) {
-	s := w.servers[a.Endpoint]
-	if s == nil {
-		w.fault("send to server %d, which was never listed", a.Endpoint)
-		return
-	}
-	if q.final || q.stream {
-		w.fault("send for a request that is over")
-	}
-	if w.now > q.deadline {
-		w.fault("send after the deadline")
+// drawSettings draws settings without classes and tenants.
+func (w *world) drawSettings() balancer.Settings {
+	return balancer.Settings{
+		Nodes:               1 + w.rng.Intn(6),
+		Zone:                "z0",
+		MaxAttempts:         1 + w.rng.Intn(5),
+		HedgingAllowed:      w.drawBool(),
+		CancelAllowed:       w.rng.Intn(3) > 0,
+		HealthChecksAllowed: w.drawBool(),
+		LoadReportSource:    balancer.LoadReportSource(w.rng.Intn(3)),
+		GossipAllowed:       w.drawBool(),
+		RetryAfterAllowed:   w.drawBool(),
+		MaxRetryAfter:       time.Second,
+		ConnectTimeout:      100 * time.Millisecond,
+		MinEventInterval:    5 * time.Millisecond,
+		EndpointsOnDemand:   w.drawBool(),
+		ResponseSlack:       20 * time.Millisecond,
+		PollInterval:        10 * time.Second,
+		DrainGrace:          w.drawDuration(0, 1000),
+		DrainCloseTimeout:   time.Duration(w.rng.Intn(2)) * w.drawDuration(20, 500),
+		SlowStartCapacity:   0.3,
+		SlowStartDuration:   w.drawDuration(3000, 9000),
+		OverloadFactor:      2.5,
+		OverloadDuration:    time.Second,
 	}
-	if z, k := q.class.AllowedZones, q.class.AllowedMachineTypes; z != nil && !slices.Contains(z, s.Zone) ||
-		k != nil && !slices.Contains(k, s.MachineType) {
-		w.fault("send to zone %s, kind %s, not open to %s", s.Zone, s.MachineType, q.class.Name)
-	}
-	if len(q.attempts) >= w.set.MaxAttempts {
-		w.fault("more than %d attempts", w.set.MaxAttempts)
+}
+
+func (w *world) drawClass(name string) balancer.Class {
+	objective := w.drawDuration(100, 1500)
+	zones := [][]string{nil, nil, {"z0"}, {"z1", "z0"}, {}}
+	machineTypes := [][]string{nil, nil, nil, {"k1"}}
+	return balancer.Class{
+		Name:                name,
+		PriorityWeight:      float64(w.rng.Intn(13)),
+		LatencyObjective:    objective,
+		Deadline:            2*objective + w.drawDuration(0, 2000),
+		LateWeight:          float64(w.rng.Intn(2)) / 2,
+		Idempotency:         balancer.Idempotency(w.rng.Intn(3)),
+		DeduplicationScope:  balancer.DeduplicationScope(w.rng.Intn(3)),
+		DeduplicationWindow: w.drawDuration(100, 4000),
+		Streamed:            w.rng.Intn(4) == 0,
+		AllowedZones:        zones[w.rng.Intn(5)],
+		AllowedMachineTypes: machineTypes[w.rng.Intn(4)],
 	}
-	if s.drainTold > 0 && w.now > s.drainTold+w.set.DrainGrace {
-		w.fault("send to a server that drains or is gone")
+}
+
+// start starts the node, with the endpoint list as it last had it.
+func (w *world) start() {
+	w.balancer = balancer.New(w.settings, w.rng.Int63())
+	w.requests = map[balancer.RequestID]*worldRequest{}
+	w.queue = nil
+	entries := w.listed()
+	for len(entries) < 4 {
+		entries = append(entries, w.newEndpoint(0))
 	}
-	for _, p := range q.attempts {
-		if !p.ended && !w.set.HedgingAllowed {
-			w.fault("two attempts out at once")
-		}
-		if p.ended && neverRan(p.code) || q.class.Idempotency == balancer.Idempotent {
-			continue
-		}
-		if q.class.Idempotency == balancer.NotIdempotent {
-			w.fault("unsafe request sent again")
-		} else if !sameGroup(q.class.DeduplicationScope, s, w.servers[p.server]) || w.now > p.at+q.class.DeduplicationWindow {
-			w.fault("keyed request sent outside its group or window")
-		} else if a.StartWithin <= 0 || w.now+a.StartWithin > p.at+q.class.DeduplicationWindow {
-			w.fault("keyed request sent with %v to start in, which may be outside its window", a.StartWithin)
+	w.endpoints = map[balancer.EndpointID]*worldEndpoint{}
+	w.endpointIDs = nil
+	w.update(balancer.CachedUpdate, entries)
+}
+
+// listed returns the endpoint list as the node was told it.
+func (w *world) listed() []balancer.Endpoint {
+	var entries []balancer.Endpoint
+	for _, id := range w.endpointIDs {
+		if endpoint := w.endpoints[id].Endpoint; endpoint.State != balancer.Removed {
+			entries = append(entries, endpoint)
 		}
 	}
-	w.sends[a.Endpoint] = append(w.sends[a.Endpoint], w.now)
-	age := (w.now - s.StartedAt).Seconds() / w.set.SlowStartDuration.Seconds()
-	if s.startTold && age < 1 {
-		part := w.set.SlowStartCapacity + (1-w.set.SlowStartCapacity)*max(0, age)
-		n := 0
-		for _, at := range w.sends[a.Endpoint] {
-			if at > w.now-w.set.OverloadDuration && at >= s.StartedAt {
-				n++
-			}
-		}
-		if limit := w.set.OverloadFactor * part * w.capacity * w.set.OverloadDuration.Seconds(); float64(n) > limit+3 {
-			w.fault("cold server %d was sent %d, its budget is %.1f", a.Endpoint, n, limit)
-		}
+	return entries
+}
+
+func (w *world) newEndpoint(startedAt time.Duration) balancer.Endpoint {
+	w.lastName++
+	return balancer.Endpoint{
+		ID:          balancer.EndpointID(w.lastName*2654435761 + 1),
+		Zone:        fmt.Sprint("z", w.rng.Intn(2)),
+		MachineType: fmt.Sprint("k", w.rng.Intn(2)),
+		Cell:        w.rng.Intn(3),
+		Weight:      1,
+		StartedAt:   startedAt,
 	}
 }
 
-func (w *world) carryOut(a balancer.Action) {
-	switch a := a.(type) {
-	case balancer.Send:
-		q := w.requests[a.ID]
-		if q == nil {
-			w.fault("send for an unknown request")
-			return
-		}
-		w.checkSend(q, a)
-		if w.servers[a.Endpoint] == nil {
-			return
-		}
-		q.attempts = append(q.attempts, sentAttempt{server: a.Endpoint, at: w.now})
-		w.servers[a.Endpoint].used = w.now
-		w.outcome(a, q, len(q.attempts)-1)
-	case balancer.Reject:
-		q := w.final(a.ID)
-		if q == nil {
-			return
-		}
-		for _, p := range q.attempts {
-			ran := !p.ended || !neverRan(p.code)
-			if ran && (q.class.Idempotency == balancer.NotIdempotent ||
-				q.class.Idempotency == balancer.IdempotentByKey && q.class.DeduplicationScope != balancer.DeduplicatedByFleet) {
-				w.fault("refused although it may have run")
+// run plays some time with so many arrivals per second. The node may be restarted in between if restarts is set.
+func (w *world) run(duration time.Duration, rate float64, restarts bool) {
+	const step = 5 * time.Millisecond
+	for end := w.now + duration; w.now < end; w.now += step {
+		w.deliverDue()
+		for n := rate * step.Seconds(); n > 0; n-- {
+			if w.rng.Float64() < n {
+				w.arrive()
 			}
 		}
-	case balancer.Fail:
-		w.final(a.ID)
-	case balancer.CancelAttempt:
-		q := w.requests[a.ID]
-		if !w.set.CancelAllowed || q == nil || a.Attempt >= len(q.attempts) {
-			w.fault("forbidden or unknown cancel")
-			return
-		}
-		w.later(time.Millisecond, pending{id: a.ID, event: balancer.AttemptEnded{ID: a.ID, Attempt: a.Attempt,
-			Endpoint: q.attempts[a.Attempt].server, Outcome: balancer.Canceled}})
-	case balancer.HealthCheck:
-		if !w.set.HealthChecksAllowed {
-			w.fault("forbidden probe")
-		}
-		e := balancer.HealthCheckEnded{Endpoint: a.Endpoint, Outcome: []balancer.Outcome{balancer.OK, balancer.OK, balancer.TimedOut}[w.r.Intn(3)]}
-		if e.Outcome == balancer.OK {
-			e.Report = &balancer.LoadReport{InFlight: float64(w.r.Intn(9)), HasInFlight: true, Queued: float64(w.r.Intn(5))}
-		}
-		w.later(time.Duration(w.r.Intn(20))*time.Millisecond, pending{event: e})
-	case balancer.CloseIdleConnections:
-		if s := w.servers[a.Endpoint]; s == nil {
-			w.fault("close of connections to an unknown server")
-		} else {
-			s.used = 0
-		}
-	case balancer.SendMessage:
-		if !w.set.GossipAllowed || len(a.Data) > 256 {
-			w.fault("forbidden message")
+		if w.rng.Intn(150) == 0 {
+			w.changeEndpoints()
 		}
-	case balancer.SetTimer:
-		late := time.Duration(0)
-		if w.r.Intn(20) == 0 {
-			late = time.Duration(w.r.Intn(200)) * time.Millisecond
-		}
-		w.later(a.After+late, pending{event: balancer.TimerFired{Token: a.Token}})
-	case balancer.Subscribe, balancer.FetchEndpoints:
-		if w.r.Intn(3) == 0 {
-			w.later(time.Second, pending{event: balancer.EndpointUpdate{Kind: balancer.FailedUpdate}})
-		} else {
-			w.later(50*time.Millisecond, pending{event: balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate}})
+		if restarts && w.rng.Intn(1500) == 0 {
+			w.start()
 		}
+		w.checkConnectionsClosed()
+		w.checkAnswered(step)
 	}
 }
 
-func (w *world) final(id balancer.RequestID) *liveRequest {
-	q := w.requests[id]
-	if q == nil {
-		w.fault("answer to an unknown request")
-		return nil
-	}
-	if q.final {
-		w.fault("second final answer")
-	}
-	q.final = true
-	return q
-}
-
-// outcome plans how an attempt ends.
-func (w *world) outcome(a balancer.Send, q *liveRequest, n int) {
-	limit := q.deadline - w.now
-	if a.Timeout != 0 {
-		limit = min(limit, a.Timeout)
-	}
-	codes := []balancer.Outcome{balancer.OK, balancer.OK, balancer.OK, balancer.OK, balancer.OK, balancer.ServerError,
-		balancer.Rejected, balancer.TimedOut, balancer.ConnectFailed, balancer.Reset, balancer.NotSent}
-	code, took := codes[w.r.Intn(len(codes))], time.Duration(1+w.r.Intn(400))*time.Millisecond
-	if uint32(a.Endpoint)%5 == uint32(w.now.Seconds()/7)%5 && w.r.Intn(2) == 0 {
-		code = balancer.TimedOut // some servers are silent for a while
+// deliverDue hands over the events that are due, in order.
+func (w *world) deliverDue() {
+	slices.SortStableFunc(w.queue, func(x, y futureEvent) int {
+		if x.at != y.at {
+			return int(x.at - y.at)
+		}
+		return x.order - y.order
+	})
+	for len(w.queue) > 0 && w.queue[0].at <= w.now {
+		next := w.queue[0]
+		w.queue = w.queue[1:]
+		w.deliver(next.event)
 	}
-	if code == balancer.TimedOut || took > limit {
-		code, took = balancer.TimedOut, limit
-	}
-	if q.class.Streamed && code == balancer.OK && took > 10*time.Millisecond && w.r.Intn(2) == 0 {
-		w.later(took/2, pending{event: balancer.StreamStarted{ID: a.ID, Attempt: n, Endpoint: a.Endpoint, Elapsed: took / 2}})
-	}
-	var report *balancer.LoadReport
-	if w.r.Intn(3) == 0 {
-		report = &balancer.LoadReport{InFlight: float64(w.r.Intn(30)), HasInFlight: w.r.Intn(4) > 0}
-	}
-	w.later(took, pending{id: a.ID, event: balancer.AttemptEnded{ID: a.ID, Attempt: n, Endpoint: a.Endpoint, Elapsed: took,
-		Outcome: code, Report: report}})
 }
 
-// deliver hands an event over, as the wire would: one outcome for each attempt, none for what the node forgot.
-func (w *world) deliver(p pending) {
-	switch e := p.event.(type) {
+// deliver hands an event over if it can still happen: one outcome for each attempt, none that a restarted node has
+// forgotten, and nothing for a request that was answered.
+func (w *world) deliver(event balancer.Event) {
+	switch event := event.(type) {
 	case balancer.AttemptEnded:
-		q := w.requests[e.ID]
-		if q == nil || q.attempts[e.Attempt].ended {
+		request := w.requests[event.ID]
+		if request == nil || request.attempts[event.Attempt].ended {
 			return
 		}
-		at := &q.attempts[e.Attempt]
-		at.ended, at.code = true, e.Outcome
-		w.servers[at.server].used = w.now
-		e.RequestDone = q.final || e.Outcome == balancer.OK
-		if e.Outcome == balancer.OK && !q.final {
-			q.final = true
-		}
-		w.handle(e)
+		attempt := &request.attempts[event.Attempt]
+		attempt.ended = true
+		attempt.outcome = event.Outcome
+		w.endpoints[attempt.endpoint].usedAt = w.now
+		request.answered = request.answered || event.Outcome == balancer.OK
+		event.RequestDone = request.answered
+		w.handle(event)
 		return
 	case balancer.StreamStarted:
-		q := w.requests[e.ID]
-		if q == nil || q.final || q.attempts[e.Attempt].ended {
+		request := w.requests[event.ID]
+		if request == nil || request.answered || request.attempts[event.Attempt].ended {
 			return
 		}
-		q.stream = true
+		request.streaming = true
 	case balancer.RequestAbandoned:
-		q := w.requests[e.ID]
-		if q == nil || q.final {
+		request := w.requests[event.ID]
+		if request == nil || request.answered {
 			return
 		}
-		q.final = true
+		request.answered = true
 	}
-	w.handle(p.event)
+	w.handle(event)
 }
 
-// arrivals and changes of the list.
-func (w *world) arrive() {
-	w.next++
-	id := balancer.RequestID(fmt.Sprintf("%036d", w.next))
-	c := w.set.Classes[w.r.Intn(len(w.set.Classes))]
-	patience := time.Duration(float64(c.Deadline) * (0.3 + 0.7*w.r.Float64()))
-	if w.r.Intn(50) == 0 {
-		patience = 0
-	}
-	w.requests[id] = &liveRequest{class: c, deadline: w.now + patience}
-	if w.r.Intn(40) == 0 {
-		w.later(patience/2, pending{event: balancer.RequestAbandoned{ID: id}})
+// handle hands an event over and carries out the actions.
+func (w *world) handle(event balancer.Event) {
+	actions := w.balancer.Handle(w.now, event)
+	w.actions = append(w.actions, fmt.Sprintf("%#v", actions))
+	if w.mutate != nil {
+		actions = w.mutate(w, actions)
 	}
-	e := balancer.RequestArrived{ID: id, Class: c.Name, Timeout: patience}
-	if len(w.set.Tenants) > 0 {
-		e.Tenant = w.set.Tenants[w.r.Intn(len(w.set.Tenants))].Name
+	for _, action := range actions {
+		w.carryOut(action)
 	}
-	w.handle(e)
 }
 
-func (w *world) newServer(started time.Duration) balancer.Endpoint {
-	w.next++
-	return balancer.Endpoint{ID: balancer.EndpointID(w.next*2654435761 + 1), Zone: fmt.Sprint("z", w.r.Intn(2)),
-		MachineType: fmt.Sprint("k", w.r.Intn(2)), Cell: w.r.Intn(3), Weight: 1, StartedAt: started}
+// schedule hands an event over later, no sooner than MinEventInterval.
+func (w *world) schedule(after time.Duration, event balancer.Event) {
+	w.order++
+	at := w.now + max(after, w.settings.MinEventInterval)
+	w.queue = append(w.queue, futureEvent{at: at, order: w.order, event: event})
 }
 
-// tell records what a list says and passes it on.
-func (w *world) tell(kind balancer.UpdateKind, entries []balancer.Endpoint) {
-	in := map[balancer.EndpointID]bool{}
-	for _, n := range entries {
-		s := w.servers[n.ID]
-		if s == nil {
-			s = &listed{}
-			w.servers[n.ID] = s
-			w.ids = append(w.ids, n.ID)
-		}
-		if n.State != balancer.Ready && s.drainTold == 0 {
-			s.used = w.now
-		}
-		s.startTold = n.State == balancer.Ready && n.StartedAt > 0
-		s.Endpoint = n
-		in[n.ID] = true
-		if n.State == balancer.Ready {
-			s.drainTold = 0
-		} else if s.drainTold == 0 {
-			s.drainTold = w.now
-		}
+// arrive hands over a new request.
+func (w *world) arrive() {
+	w.lastName++
+	id := balancer.RequestID(fmt.Sprintf("%036d", w.lastName))
+	class := w.settings.Classes[w.rng.Intn(len(w.settings.Classes))]
+	timeout := time.Duration(float64(class.Deadline) * (0.3 + 0.7*w.rng.Float64()))
+	if w.rng.Intn(50) == 0 {
+		timeout = 0
+	}
+	w.requests[id] = &worldRequest{class: class, deadline: w.now + timeout}
+	if w.rng.Intn(40) == 0 {
+		w.schedule(timeout/2, balancer.RequestAbandoned{ID: id})
+	}
+	event := balancer.RequestArrived{ID: id, Class: class.Name, Timeout: timeout}
+	if len(w.settings.Tenants) > 0 {
+		event.Tenant = w.settings.Tenants[w.rng.Intn(len(w.settings.Tenants))].Name
+	}
+	w.handle(event)
+}
+
+// update hands over an update of the endpoint list and records what the node has been told with it.
+func (w *world) update(kind balancer.UpdateKind, entries []balancer.Endpoint) {
+	named := map[balancer.EndpointID]bool{}
+	for _, entry := range entries {
+		named[entry.ID] = true
+		w.recordEntry(entry)
 	}
 	if kind != balancer.IncrementalUpdate {
-		for _, id := range w.ids {
-			if s := w.servers[id]; !in[id] && s.drainTold == 0 {
-				s.drainTold, s.State = w.now, balancer.Removed
+		for _, id := range w.endpointIDs {
+			if endpoint := w.endpoints[id]; !named[id] && endpoint.notReadySince == 0 {
+				endpoint.notReadySince = w.now
+				endpoint.State = balancer.Removed
 			}
 		}
 	}
 	w.handle(balancer.EndpointUpdate{Kind: kind, Endpoints: entries})
 }
 
-func (w *world) changeList() {
-	s := w.servers[w.ids[w.r.Intn(len(w.ids))]].Endpoint
-	switch w.r.Intn(6) {
+func (w *world) recordEntry(entry balancer.Endpoint) {
+	endpoint := w.endpoints[entry.ID]
+	if endpoint == nil {
+		endpoint = &worldEndpoint{}
+		w.endpoints[entry.ID] = endpoint
+		w.endpointIDs = append(w.endpointIDs, entry.ID)
+	}
+	endpoint.Endpoint = entry
+	ready := entry.State == balancer.Ready
+	endpoint.startKnown = ready && entry.StartedAt > 0
+	switch {
+	case ready:
+		endpoint.notReadySince = 0
+	case endpoint.notReadySince == 0:
+		endpoint.notReadySince = w.now
+		endpoint.usedAt = w.now
+	}
+}
+
+// changeEndpoints hands over a random change of the endpoint list.
+func (w *world) changeEndpoints() {
+	entry := w.endpoints[w.endpointIDs[w.rng.Intn(len(w.endpointIDs))]].Endpoint
+	switch w.rng.Intn(6) {
 	case 0:
-		s.State = balancer.Draining
+		entry.State = balancer.Draining
 	case 1:
-		s.State = balancer.Removed
+		entry.State = balancer.Removed
 	case 2:
-		s.State, s.StartedAt = balancer.Ready, w.now
+		entry.State = balancer.Ready
+		entry.StartedAt = w.now
 	case 3:
-		s = w.newServer(w.now)
+		entry = w.newEndpoint(w.now)
 	case 4:
-		var all []balancer.Endpoint
-		for _, id := range w.ids {
-			if e := w.servers[id].Endpoint; e.State != balancer.Removed {
-				all = append(all, e)
-			}
-		}
-		w.tell(balancer.FullUpdate, all)
+		w.update(balancer.FullUpdate, w.listed())
 		return
 	case 5:
-		if w.set.EndpointsOnDemand {
+		if w.settings.EndpointsOnDemand {
 			w.handle(balancer.EndpointUpdate{Kind: balancer.FailedUpdate})
 		}
 		return
 	}
-	w.tell(balancer.IncrementalUpdate, []balancer.Endpoint{s})
-}
-
-func (w *world) start() {
-	w.module = balancer.New(w.set, w.r.Int63())
-	w.requests, w.queue = map[balancer.RequestID]*liveRequest{}, nil
-	var all []balancer.Endpoint
-	for _, id := range w.ids {
-		if e := w.servers[id].Endpoint; e.State != balancer.Removed {
-			all = append(all, e)
-		}
-	}
-	for len(all) < 4 {
-		all = append(all, w.newServer(0))
-	}
-	w.servers, w.ids = map[balancer.EndpointID]*listed{}, nil
-	w.tell(balancer.CachedUpdate, all)
-}
-
-// run plays a stretch of time; restarts says whether the node may be restarted in between.
-func (w *world) run(length time.Duration, rate float64, restarts bool) {
-	const step = 5 * time.Millisecond
-	for end := w.now + length; w.now < end; w.now += step {
-		sort.SliceStable(w.queue, func(i, j int) bool {
-			return w.queue[i].at < w.queue[j].at || w.queue[i].at == w.queue[j].at && w.queue[i].order < w.queue[j].order
-		})
-		for len(w.queue) > 0 && w.queue[0].at <= w.now {
-			p := w.queue[0]
-			w.queue = w.queue[1:]
-			w.deliver(p)
-		}
-		for n := rate * step.Seconds(); n > 0; n-- {
-			if w.r.Float64() < n {
-				w.arrive()
-			}
-		}
-		if w.r.Intn(150) == 0 {
-			w.changeList()
-		}
-		if restarts && w.r.Intn(1500) == 0 {
-			w.start()
-		}
-		for _, id := range w.ids {
-			if s := w.servers[id]; s.State == balancer.Draining && s.used > 0 && w.set.DrainCloseTimeout > 0 &&
-				w.now > s.used+w.set.DrainCloseTimeout {
-				w.fault("connections to server %d, which drains, were left open", id)
-				s.used = 0
-			}
-		}
-		for id, q := range w.requests {
-			if !q.final && !q.stream && w.now > q.deadline+w.set.ResponseSlack+step {
-				w.fault("request %s has no answer in time", id)
-				q.final = true
-			}
-		}
-	}
-}
-
-func newWorld(seed int64) *world {
-	r := rand.New(rand.NewSource(seed))
-	w := &world{r: r, now: time.Hour, servers: map[balancer.EndpointID]*listed{}, sends: map[balancer.EndpointID][]time.Duration{}}
-	ms := func(lo, hi int) time.Duration { return time.Duration(lo+r.Intn(hi-lo)) * time.Millisecond }
-	w.set = balancer.Settings{Nodes: 1 + r.Intn(6), Zone: "z0", MaxAttempts: 1 + r.Intn(5), HedgingAllowed: r.Intn(2) == 0,
-		CancelAllowed: r.Intn(3) > 0, HealthChecksAllowed: r.Intn(2) == 0, LoadReportSource: balancer.LoadReportSource(r.Intn(3)), GossipAllowed: r.Intn(2) == 0, RetryAfterAllowed: r.Intn(2) == 0,
-		MaxRetryAfter: time.Second, ConnectTimeout: 100 * time.Millisecond, MinEventInterval: 5 * time.Millisecond,
-		EndpointsOnDemand: r.Intn(2) == 0, ResponseSlack: 20 * time.Millisecond, PollInterval: 10 * time.Second,
-		DrainGrace: ms(0, 1000), DrainCloseTimeout: time.Duration(r.Intn(2)) * ms(20, 500),
-		SlowStartCapacity: 0.3, SlowStartDuration: ms(3000, 9000), OverloadFactor: 2.5, OverloadDuration: time.Second}
-	for i, n := 0, 1+r.Intn(4); i < n; i++ {
-		aim := ms(100, 1500)
-		w.set.Classes = append(w.set.Classes, balancer.Class{Name: fmt.Sprint("c", i), PriorityWeight: float64(r.Intn(13)), LatencyObjective: aim,
-			Deadline: 2*aim + ms(0, 2000), LateWeight: float64(r.Intn(2)) / 2, Idempotency: balancer.Idempotency(r.Intn(3)),
-			DeduplicationScope: balancer.DeduplicationScope(r.Intn(3)), DeduplicationWindow: ms(100, 4000), Streamed: r.Intn(4) == 0,
-			AllowedZones:        [][]string{nil, nil, {"z0"}, {"z1", "z0"}, {}}[r.Intn(5)],
-			AllowedMachineTypes: [][]string{nil, nil, nil, {"k1"}}[r.Intn(4)]})
-	}
-	if r.Intn(3) == 0 {
-		w.set.Tenants = []balancer.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
-	}
-	w.start()
-	return w
+	w.update(balancer.IncrementalUpdate, []balancer.Endpoint{entry})
 }
