--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -102,8 +102,8 @@
 	n.dials = hookDials(n.Node, changePool)
 	lingered := make(chan struct{})
 	n.linger = sync.OnceFunc(func() { close(lingered) })
-	n.front.linger = func(func() int) { <-lingered }
-	n.front.stages = stages{answered: enough, closed: 2 * enough} // tests that want less say so
+	n.front.keepServing = func(func() int) { <-lingered }
+	n.front.phases = shutdownPhases{answered: enough, closed: 2 * enough} // tests that want less say so
 	go func() { n.ended <- n.Run(ctx, ln) }()
 	t.Cleanup(func() {
 		stop()
@@ -344,7 +344,7 @@
 		{"keyed class, empty key", "POST", "pedido", "q", "1", []string{""}, 1, 400},
 		{"keyed class, two keys", "POST", "pedido", "q", "1", []string{"k", "l"}, 1, 400},
 		{"unsafe class, key", "POST", "pagar", "q", "1", []string{"k"}, 1, 400},
-		{"body too long", "POST", "pagar", "q", "1", nil, maxBody + 1, 413},
+		{"body too long", "POST", "pagar", "q", "1", nil, maxBodyBytes + 1, 413},
 	} {
 		req := n.request(t, c.method, c.class, c.id, c.deadline, bytes.NewReader(make([]byte, c.body)))
 		if c.key != nil {
@@ -460,13 +460,13 @@
 	}
 	ask("before")
 	n.stop()
-	for until := time.Now().Add(enough); !n.front.ordered.Load() && time.Now().Before(until); {
+	for until := time.Now().Add(enough); !n.front.stopping.Load() && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
 	if resp := ask("after"); resp.Close {
 		t.Error("the client is told to close while the node can still serve it")
 	}
-	n.front.leaving.Store(true)
+	n.front.closing.Store(true)
 	if resp := ask("last"); !resp.Close {
 		t.Error("the client is not told to close at the end")
 	}
@@ -482,10 +482,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := limitListener(ln, 2)
+	l := newConnectionLimiter(ln, 2, quiet)
 	idle := make(chan struct{}, 10)
 	srv := &http.Server{Handler: http.NotFoundHandler(), ConnState: func(c net.Conn, s http.ConnState) {
-		l.note(c, s)
+		l.trackState(c, s)
 		if s == http.StateIdle {
 			idle <- struct{}{}
 		}
--- a/internal/node/pieces_test.go
+++ b/internal/node/pieces_test.go
@@ -89,8 +89,8 @@
 		if l.single {
 			size = 2
 		}
-		conns := limitListener(l, 100)
-		srv := &http.Server{Handler: n.front, ConnState: conns.note, ConnContext: conns.context}
+		conns := newConnectionLimiter(l, 100, quiet)
+		srv := &http.Server{Handler: n.front, ConnState: conns.trackState, ConnContext: conns.connContext}
 		go srv.Serve(conns)
 		defer srv.Close()
 		for k := 1; k < size; k++ {
@@ -119,7 +119,7 @@
 
 // TestBodiesOfTheLargestSize: a body holds 64 KiB, in a request and in an answer of any form, however it is cut.
 func TestBodiesOfTheLargestSize(t *testing.T) {
-	body := strings.Repeat("0123456789abcdef", maxBody/16)
+	body := strings.Repeat("0123456789abcdef", maxBodyBytes/16)
 	chunked := func(size int) string {
 		var b strings.Builder
 		b.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -129,7 +129,7 @@
 		b.WriteString("0\r\n\r\n")
 		return b.String()
 	}
-	long := "X-Long: " + strings.Repeat("x", maxHead-100) + "\r\n"
+	long := "X-Long: " + strings.Repeat("x", maxHeadBytes-100) + "\r\n"
 	for name, text := range map[string]string{
 		"length":             fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body),
 		"behind a long head": fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", long, len(body), body),
