--- a/internal/lab/hollow/request.go
+++ b/internal/lab/hollow/request.go
@@ -35,7 +35,7 @@
 	}
 	e.Timeout = r.deadline - m.now
 	n.requests[r.id] = r
-	n.answerAtDeadline(r, r.deadline+node.GuardDelay)
+	n.answerAtDeadline(r, r.deadline+node.WatchdogDelay)
 	n.handle(e)
 }
 
--- /dev/null
+++ b/internal/node/departure_test.go
@@ -0,0 +1,314 @@
+package node
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"bankshift/balancer"
+	"bankshift/internal/sockets"
+)
+
+// TestClientLeavesAfterSendingMore: a client sends more than its open request
+// and leaves. Its departure stands behind all that in its socket.
+func TestClientLeavesAfterSendingMore(t *testing.T) {
+	for name, rest := range map[string]string{"a byte": "G", "as much as a buffer": pipelinedGets(30), "more than a buffer": pipelinedGets(100)} {
+		for _, cancel := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, cancel %v", name, cancel), func(t *testing.T) {
+				backend, got, _ := startStallingBackend(t)
+				n := startNodeWith(t, func(s *balancer.Settings) { s.CancelAllowed = cancel }, backend)
+				c := n.dial(t)
+				c.sendGet(t, "saldo", "q", "60")
+				receive(t, got, "the attempt")
+				io.WriteString(c, rest)
+				c.Close()
+				waitUntil(t, "the end of all requests and connections", func() bool {
+					open := make(chan int, 1)
+					n.post(func() { open <- n.unansweredRequests() })
+					return receive(t, open, "the loop") == 0 && n.frontend.connections.openConnections() == 0
+				})
+				if len(got) > 0 {
+					t.Errorf("request %q was sent after its client had left", <-got)
+				}
+			})
+		}
+	}
+}
+
+// TestClientCancels: a client's cancel ends the attempt, and the node forgets
+// the request.
+func TestClientCancels(t *testing.T) {
+	backend, got, gone := startStallingBackend(t)
+	n := startNode(t, backend)
+	ctx, cancel := context.WithCancel(context.Background())
+	failed := make(chan error, 1)
+	go func() {
+		_, err := http.DefaultClient.Do(n.request(t, "GET", "saldo", "q", "60", nil).WithContext(ctx))
+		failed <- err
+	}()
+	receive(t, got, "the attempt")
+	cancel()
+	if err := receive(t, failed, "the client"); !errors.Is(err, context.Canceled) {
+		t.Errorf("the client got %v", err)
+	}
+	receive(t, gone, "the attempt's end")
+	waitUntil(t, "the request to be removed", func() bool { return n.openRequests(t) == 0 })
+}
+
+// TestClientLeavesWhileDialing: an attempt that has not been sent is canceled,
+// though the settings do not allow work to be canceled, and though the loop is
+// busy.
+func TestClientLeavesWhileDialing(t *testing.T) {
+	for _, busy := range []bool{false, true} {
+		t.Run(fmt.Sprintf("busy %v", busy), func(t *testing.T) {
+			address, got := startRecordingBackend(t)
+			n := startNodeWith(t, func(s *balancer.Settings) { s.CancelAllowed, s.MinEventInterval = false, time.Hour }, address)
+			begun, up := blockDials(n.dials)
+			c := n.dial(t)
+			c.sendGet(t, "saldo", "q", "60")
+			receive(t, begun, "the connection to begin")
+			if busy {
+				release := n.blockLoop(t)
+				n.disconnect(t, c)
+				close(up)
+				waitUntil(t, "the attempt's end", func() bool { return len(n.events) == 2 })
+				release()
+			} else {
+				c.Close()
+				waitUntil(t, "the end of the attempt that waits for its connection", func() bool { return n.openRequests(t) == 0 })
+				close(up)
+			}
+			n.mustNotSend(t, got, "q")
+		})
+	}
+}
+
+// TestClientLeavesWhileLoopIsBusy: a client leaves while its request, or the
+// event that would have it sent, waits for the loop, which learns of the
+// departure too late.
+func TestClientLeavesWhileLoopIsBusy(t *testing.T) {
+	t.Run("in the event queue", func(t *testing.T) { testClientLeavesInEventQueue(t, "") })
+	t.Run("in the event queue, with a byte more", func(t *testing.T) { testClientLeavesInEventQueue(t, "G") })
+	t.Run("in the event queue, with much more", func(t *testing.T) { testClientLeavesInEventQueue(t, pipelinedGets(100)) })
+	t.Run("in the event queue, closing its sending side", testClientClosesSendingInEventQueue)
+	t.Run("with a further attempt due", testClientLeavesBeforeFurtherAttempt)
+	t.Run("held by a health check", testClientLeavesDuringHealthCheck)
+}
+
+// noOwnEvents are settings with which the balancer sets no timer during a test.
+func noOwnEvents(s *balancer.Settings) { s.MinEventInterval = time.Hour }
+
+// mustHoldNoRequest checks that no request is open. It runs in place of the loop,
+// which release lets go on.
+func (n *testNode) mustHoldNoRequest(t *testing.T, release func()) {
+	t.Helper()
+	if k := len(n.requests); k != 0 {
+		t.Errorf("%d requests are still open", k)
+	}
+	release()
+}
+
+// testClientLeavesInEventQueue: the client sends more after its request, and
+// leaves.
+func testClientLeavesInEventQueue(t *testing.T, more string) {
+	address, got := startRecordingBackend(t)
+	n := startNodeWith(t, noOwnEvents, address)
+	release := n.blockLoop(t)
+	c := n.dial(t)
+	c.sendGet(t, "saldo", "q", "60")
+	startRequest := receive(t, n.events, "the request")
+	io.WriteString(c, more)
+	n.disconnect(t, c)
+	startRequest()
+	n.mustHoldNoRequest(t, release)
+	n.mustNotSend(t, got, "q")
+}
+
+func testClientClosesSendingInEventQueue(t *testing.T) {
+	address, got := startRecordingBackend(t)
+	n := startNodeWith(t, noOwnEvents, address)
+	release := n.blockLoop(t)
+	c := n.dial(t)
+	c.sendGet(t, "saldo", "q", "60")
+	startRequest := receive(t, n.events, "the request")
+	c.CloseWrite()
+	if s := c.status(t); s < 500 {
+		t.Errorf("status %d, want a failure", s)
+	}
+	startRequest()
+	n.mustHoldNoRequest(t, release)
+	n.mustNotSend(t, got, "q")
+}
+
+// testClientLeavesBeforeFurtherAttempt: the client leaves when the end of the first
+// attempt, which would have a further one sent, is in the queue.
+func testClientLeavesBeforeFurtherAttempt(t *testing.T) {
+	got := make(chan string, 10)
+	respond := make(chan bool)
+	serve := func(_ int, c net.Conn, r *bufio.Reader) {
+		for {
+			req := readRequest(r)
+			if req == nil {
+				return
+			}
+			id := req.Header.Get("X-Request-Id")
+			got <- id
+			if id != "q" {
+				io.WriteString(c, okResponse)
+				continue
+			}
+			<-respond
+			io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+		}
+	}
+	n := startNodeWith(t, noOwnEvents, startBackend(t, serve), startBackend(t, serve))
+	c := n.dial(t)
+	c.sendGet(t, "saldo", "q", "60")
+	receive(t, got, "the attempt")
+	release := n.blockLoop(t)
+	close(respond)
+	finishAttempt := receive(t, n.events, "the attempt's end")
+	n.disconnect(t, c)
+	finishAttempt()
+	n.mustHoldNoRequest(t, release)
+	n.mustNotSend(t, got, "q")
+}
+
+func testClientLeavesDuringHealthCheck(t *testing.T) {
+	address, got := startRecordingBackend(t)
+	n := startNodeWith(t, func(s *balancer.Settings) {
+		noOwnEvents(s) // the health check lasts until the test ends it
+		s.HealthChecksAllowed = true
+		s.LoadReportSource = balancer.LoadReportsByHealthCheck
+	}, address)
+	c := n.dial(t)
+	c.sendGet(t, "saldo", "q", "60")
+	waitUntil(t, "the request", func() bool { return n.openRequests(t) == 1 })
+	release := n.blockLoop(t)
+	n.disconnect(t, c)
+	if k := len(n.requests["q"].cancelAttempts); k != 0 {
+		t.Fatalf("%d attempts during the health check", k)
+	}
+	id, _ := n.directory.ID("s-0")
+	n.handle(balancer.HealthCheckEnded{Endpoint: id, Report: &balancer.LoadReport{HasInFlight: true}})
+	n.mustHoldNoRequest(t, release)
+	if len(got) > 0 {
+		t.Errorf("request %q is sent though its client has left", <-got)
+	}
+}
+
+// TestClientLeftBeforeItWasRead: the end of a client's connection stands in its
+// socket behind the request, and net/http has not begun to watch for it.
+func TestClientLeftBeforeItWasRead(t *testing.T) {
+	for name, leave := range map[string]func(c *net.TCPConn){
+		"closed": func(c *net.TCPConn) { c.Close() },
+		"reset":  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			address, got := startRecordingBackend(t)
+			n := startNode(t, address)
+			c, client := connectionPair(t)
+			leave(client.(*net.TCPConn))
+			waitUntil(t, "the end to arrive", func() bool { return !sockets.Quiet(c.Conn) })
+			req := &request{
+				arrival:  balancer.RequestArrived{ID: "q", Class: "saldo"},
+				upstream: getRequest("/api/x"),
+				deadline: time.Now().Add(testTimeout),
+				response: make(chan response, 1),
+			}
+			if resp, ok := n.frontend.awaitResponse(context.WithValue(t.Context(), clientConnKey{}, c), req); ok {
+				t.Errorf("response %d to a client that has left", resp.status)
+			}
+			n.mustNotSend(t, got, "q")
+		})
+	}
+}
+
+// TestClientLeftBeforeAccept: a client has sent its request, and perhaps more
+// after it, and left before the node accepts its connection.
+func TestClientLeftBeforeAccept(t *testing.T) {
+	for name, rest := range map[string]string{"with one request": "", "with a byte more": "G", "with much more": pipelinedGets(30), "with more than a buffer": pipelinedGets(100)} {
+		t.Run(name, func(t *testing.T) {
+			address, got := startRecordingBackend(t)
+			n := startNode(t, address)
+			ln := newListener(t)
+			c := (&testNode{address: ln.Addr().String()}).dial(t)
+			c.sendGet(t, "saldo", "q", "60")
+			io.WriteString(c, rest)
+			c.Close()
+			l := newConnectionLimiter(ln, 10, discardLog)
+			srv := &http.Server{Handler: n.frontend, ConnState: l.trackState, ConnContext: l.connContext}
+			t.Cleanup(func() { srv.Close() })
+			ended := make(chan bool, 1)
+			srv.ConnState = func(c net.Conn, s http.ConnState) {
+				l.trackState(c, s)
+				if s == http.StateClosed {
+					ended <- true
+				}
+			}
+			go srv.Serve(l)
+			receive(t, ended, "the connection's end")
+			n.mustNotSend(t, got, "q")
+		})
+	}
+}
+
+// TestClientLeavesWithinBody: a request that has not been received to its end
+// is not sent.
+func TestClientLeavesWithinBody(t *testing.T) {
+	address, got := startRecordingBackend(t)
+	n := startNode(t, address)
+	waitUntil(t, "the test's first connection to close", func() bool { return n.frontend.connections.openConnections() == 0 })
+	c := n.dial(t)
+	io.WriteString(c, "POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: q\r\nX-Class: pagar\r\nX-Deadline: 60\r\nContent-Length: 4\r\n\r\nbod")
+	waitUntil(t, "the head to be read", func() bool { return n.connectionsInRequest() == 1 })
+	n.disconnect(t, c)
+	n.mustNotSend(t, got, "q")
+}
+
+// TestDepartureIsSeenBeforeSend: a client leaves while a connection for its
+// request comes up, and no reader has seen it yet. The request must not be
+// sent.
+func TestDepartureIsSeenBeforeSend(t *testing.T) {
+	for name, leave := range map[string]func(c testClient){
+		"closed": func(c testClient) { c.Close() },
+		"reset":  func(c testClient) { c.SetLinger(0); c.Close() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			address, got := startRecordingBackend(t)
+			ln := lateEndListener{newListener(t), make(chan struct{})}
+			defer close(ln.release)
+			n := startNodeOn(t, ln, func(*Config) {}, address)
+			begun, up := blockDials(n.dials)
+			c := n.dial(t)
+			c.sendGet(t, "saldo", "q", "60")
+			receive(t, begun, "the connection to begin")
+			leave(c)
+			delayVisibly()
+			close(up)
+			n.mustNotSend(t, got, "q")
+		})
+	}
+}
+
+// TestHalfClosedClient: when a client closes its sending side, net/http cancels
+// the request's context as for a close. A handler that returns without writing
+// would answer it 200.
+func TestHalfClosedClient(t *testing.T) {
+	backend, got, gone := startStallingBackend(t)
+	n := startNode(t, backend)
+	c := n.dial(t)
+	c.sendGet(t, "saldo", "q", "60")
+	receive(t, got, "the attempt")
+	c.CloseWrite()
+	receive(t, gone, "the attempt's end")
+	if s := c.status(t); s < 500 {
+		t.Errorf("status %d, want a failure", s)
+	}
+}
--- /dev/null
+++ b/internal/node/endpoints_test.go
@@ -0,0 +1,307 @@
+package node
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"syscall"
+	"testing"
+	"time"
+
+	"bankshift/balancer"
+	"bankshift/internal/discovery"
+	"bankshift/internal/upstream"
+)
+
+// TestApplyEndpointsSetsAddresses: each kind of update reaches the pool and the
+// readiness.
+func TestApplyEndpointsSetsAddresses(t *testing.T) {
+	n := New(testConfig("127.0.0.1:1"), discardLog)
+	dials := hookDials(n, func(*upstream.Config) {})
+	apply := func(kind balancer.UpdateKind, entries ...string) {
+		n.applyEndpoints(listOf(kind, entries...), kind)
+	}
+	check := func(when string, want map[string]string) {
+		t.Helper()
+		pooled := map[string]string{}
+		for _, name := range []string{"a", "b", "c", "d"} {
+			if address, _ := dials.pooled(t, n, name, syscall.ECONNREFUSED); address != "" {
+				pooled[name] = address
+			}
+		}
+		if n.directory.Len() != len(want) || len(pooled) != len(want) {
+			t.Errorf("%s: %d listed, %d in the pool, want %d", when, n.directory.Len(), len(pooled), len(want))
+		}
+		for name, address := range want {
+			if _, listed := n.directory.ID(name); !listed || pooled[name] != address {
+				t.Errorf("%s: %s is at %q, want %s", when, name, pooled[name], address)
+			}
+		}
+		if n.frontend.ready.Load() != (len(want) > 0) {
+			t.Errorf("%s: ready is wrong", when)
+		}
+	}
+	check("at the start", nil)
+	apply(balancer.CachedUpdate, endpointJSON("a", "127.0.0.1:1", "ready"), endpointJSON("b", "127.0.0.1:2", "draining"))
+	check("cached", map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:2"})
+	apply(balancer.IncrementalUpdate, endpointJSON("a", "127.0.0.1:3", "ready"), endpointJSON("b", "", "gone"), endpointJSON("c", "", "gone"))
+	check("changes", map[string]string{"a": "127.0.0.1:3"})
+	apply(balancer.FullUpdate, endpointJSON("d", "127.0.0.1:4", "ready"))
+	check("full", map[string]string{"d": "127.0.0.1:4"})
+	apply(balancer.FullUpdate)
+	check("empty", nil)
+}
+
+// TestPollOnDemandHangsAfterFailure: where the endpoint list is polled on
+// demand, the poll after a failed one may hang through the end of an outage, so
+// it is no long poll: what discovery has when it returns is known within 6 s
+// less the drain grace.
+func TestPollOnDemandHangsAfterFailure(t *testing.T) {
+	hung, broken := make(chan bool, 1), make(chan bool, 1)
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Query().Get("from") == "" {
+			fmt.Fprintf(w, `{"index":7,"snapshot":true,"endpoints":[%s]}`, endpointJSON("a", "127.0.0.1:1", "ready"))
+			return
+		}
+		select {
+		case broken <- true: // the first long poll
+			panic(http.ErrAbortHandler)
+		default:
+		}
+		select {
+		case hung <- true:
+			<-r.Context().Done()
+		default: // discovery is back
+			fmt.Fprintf(w, `{"index":8,"snapshot":false,"endpoints":[%s]}`, endpointJSON("b", "127.0.0.1:1", "ready"))
+		}
+	}))
+	t.Cleanup(s.CloseClientConnections)
+	cfg := testConfig(s.Listener.Addr().String())
+	cfg.Settings.EndpointsOnDemand = true
+	n := startNodeFromConfig(t, cfg)
+	n.awaitEndpoints(t, "[a]")
+	waitUntil(t, "the poll that hangs", func() bool { return len(hung) > 0 })
+	back := time.Now()
+	n.awaitEndpoints(t, "[a b]")
+	if took, limit := time.Since(back), 6*time.Second-cfg.Settings.DrainGrace; took > limit {
+		t.Errorf("known %v after discovery's return, want within %v", took, limit)
+	}
+}
+
+// TestPollsOnDemandAreRefused: discovery refuses connections until the pauses
+// between polls have grown long, and returns.
+func TestPollsOnDemandAreRefused(t *testing.T) {
+	address, listen := boundPort(t)
+	cfg := testConfig(address)
+	cfg.Settings.EndpointsOnDemand = true
+	cfg.Known = discovery.List{Version: 3, Endpoints: []json.RawMessage{json.RawMessage(endpointJSON("a", "127.0.0.1:1", "ready"))}}
+	n := startNodeFromConfig(t, cfg)
+	n.awaitEndpoints(t, "[a]")
+	time.Sleep(3 * time.Second) // an outage; the test holds for one of any length
+	back := time.Now()
+	go http.Serve(listen(), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Query().Get("from") == "" {
+			fmt.Fprintf(w, `{"index":7,"snapshot":true,"endpoints":[%s]}`, endpointJSON("b", "127.0.0.1:1", "ready"))
+			return
+		}
+		<-r.Context().Done()
+	}))
+	n.awaitEndpoints(t, "[b]")
+	if took, limit := time.Since(back), 6*time.Second-cfg.Settings.DrainGrace; took > limit {
+		t.Errorf("known %v after discovery's return, want within %v", took, limit)
+	}
+}
+
+// TestNewProcessFetchesFullList: the version of the endpoint list that a node
+// is started with may be that of another discovery, where it means nothing.
+func TestNewProcessFetchesFullList(t *testing.T) {
+	first := make(chan string, 100)
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		first <- r.URL.RawQuery
+		<-r.Context().Done()
+	}))
+	t.Cleanup(s.CloseClientConnections)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	cfg := testConfig(s.Listener.Addr().String())
+	cfg.Known.Version = 9
+	n := New(cfg, discardLog)
+	n.applyEndpoints(cfg.Known, balancer.CachedUpdate)
+	go n.discovery.Run(ctx)
+	if q := receive(t, first, "the first poll"); q != "" {
+		t.Errorf("the first poll is for %s, want the full list", q)
+	}
+}
+
+// removal is how a full list removes an endpoint.
+type removal struct {
+	name   string
+	moved  bool   // discovery moves
+	drains bool   // the endpoint was announced as draining before
+	status string // of the endpoint in the full list; empty: it is left out
+	since  int    // its start time there
+}
+
+// TestFullListRemovesEndpoint: a full list, after a reload or from the poll
+// that goes on, leaves out an endpoint that still answers, or names a new
+// process of it. Its idle connection is closed at once, nothing begins on it,
+// not even what is being dialed, and the requests it has are served to the end.
+func TestFullListRemovesEndpoint(t *testing.T) {
+	for _, r := range []removal{
+		{name: "left out after a reload", moved: true},
+		{name: "drained, then left out after a reload", moved: true, drains: true},
+		{name: "left out by the poll that goes on"},
+		{name: "drains after a reload", moved: true, status: "draining"},
+		{name: "restarted", status: "ready", since: 5},
+	} {
+		t.Run(r.name, func(t *testing.T) { testFullListRemovesEndpoint(t, r) })
+	}
+}
+
+func testFullListRemovesEndpoint(t *testing.T, r removal) {
+	address, events, release := startReportingBackend(t)
+	expect := func(want string) {
+		t.Helper()
+		if got := receive(t, events, want); got != want {
+			t.Errorf("%q, want %q", got, want)
+		}
+	}
+	entry := func(status string, since int) string {
+		return fmt.Sprintf(`{"name":"s-0","address":%q,"status":%q,"since_ms":%d}`, address, status, since)
+	}
+	other, got := startRecordingBackend(t)
+	fullList := []string{endpointJSON("other", other, "ready")}
+	if r.status != "" {
+		fullList = append(fullList, entry(r.status, r.since))
+	}
+	n := startNodeResting(t, time.Hour, func(*balancer.Settings) {}, address) // so that each request needs a new connection
+	begun, up := blockDials(n.dials)
+	send := func(id string) chan clientResponse {
+		response := make(chan clientResponse, 1)
+		go func() { response <- sendRequest(t, n.request(t, "GET", "saldo", id, "60", nil)) }()
+		receive(t, begun, "a connection to begin")
+		return response
+	}
+	open := send("open")
+	up <- struct{}{}
+	expect("0 open")
+	done := send("done")
+	up <- struct{}{}
+	expect("1 done")
+	receive(t, done, "its response")
+	dialed := send("dialed")
+	if r.drains {
+		n.postEndpoints(balancer.IncrementalUpdate, entry("draining", 0))
+	}
+	if r.moved {
+		n.moveDiscovery(t, fullList)
+	} else {
+		n.postEndpoints(balancer.FullUpdate, fullList...)
+	}
+	expect("1 ends")
+	close(up)
+	expect("2 ends")
+	if resp := receive(t, dialed, "a response"); resp.status != 200 || receive(t, got, "it elsewhere") != "dialed" {
+		t.Errorf("the request that was being dialed is answered %d", resp.status)
+	}
+	close(release)
+	if resp := receive(t, open, "a response"); resp.status != 200 {
+		t.Errorf("the open request is answered %d", resp.status)
+	}
+	expect("0 ends")
+	if !n.frontend.ready.Load() {
+		t.Error("not ready")
+	}
+}
+
+// startReportingBackend starts a backend that answers each request, the one with
+// the ID "open" when release is closed. events receives the number of a connection
+// with the ID of each request, and with "ends" at its end.
+func startReportingBackend(t *testing.T) (address string, events chan string, release chan bool) {
+	t.Helper()
+	events = make(chan string, 20)
+	release = make(chan bool)
+	address = startBackend(t, func(number int, c net.Conn, r *bufio.Reader) {
+		for {
+			req := readRequest(r)
+			if req == nil {
+				events <- fmt.Sprint(number, " ends")
+				return
+			}
+			id := req.Header.Get("X-Request-Id")
+			events <- fmt.Sprint(number, " ", id)
+			if id == "open" {
+				<-release
+			}
+			io.WriteString(c, okResponse)
+		}
+	})
+	return address, events, release
+}
+
+// postEndpoints has the loop apply an endpoint list.
+func (n *testNode) postEndpoints(kind balancer.UpdateKind, entries ...string) {
+	n.post(func() { n.applyEndpoints(listOf(kind, entries...), kind) })
+}
+
+// moveDiscovery reloads the node's configuration with a new discovery and waits
+// until its list is known.
+func (n *testNode) moveDiscovery(t *testing.T, entries []string) {
+	t.Helper()
+	address, watched, _ := startDiscovery(t, 3, entries...)
+	cfg := n.cfg
+	cfg.Discovery = address
+	n.Reload(cfg)
+	receive(t, watched, "the long poll there") // it begins after the list is known
+}
+
+// listOf returns an endpoint list with these entries, in JSON.
+func listOf(kind balancer.UpdateKind, entries ...string) discovery.List {
+	list := discovery.List{Version: 1, Snapshot: kind != balancer.IncrementalUpdate}
+	for _, entry := range entries {
+		list.Endpoints = append(list.Endpoints, json.RawMessage(entry))
+	}
+	return list
+}
+
+// TestLastEntryOfListHolds: a list may name an endpoint twice, in the order of
+// what has happened to it. The last entry holds, however long the list is.
+func TestLastEntryOfListHolds(t *testing.T) {
+	for _, states := range [][2]string{{"draining", "ready"}, {"ready", "draining"}, {"gone", "ready"}, {"ready", "gone"}} {
+		n := New(testConfig("127.0.0.1:1"), discardLog)
+		dials := hookDials(n, func(*upstream.Config) {})
+		address, _ := startOKBackend(t)
+		l := discovery.List{Version: 1, Snapshot: true}
+		const endpoints = 50
+		for _, state := range states {
+			for i := range endpoints {
+				l.Endpoints = append(l.Endpoints, json.RawMessage(endpointJSON(fmt.Sprint("s", i), address, state)))
+			}
+		}
+		n.applyEndpoints(l, balancer.FullUpdate)
+		pooled, draining := 0, 0
+		for i := range endpoints {
+			if dialed, outcome := dials.pooled(t, n, fmt.Sprint("s", i), nil); dialed != "" {
+				pooled++
+				if outcome == balancer.NotSent { // though the connection came up
+					draining++
+				}
+			}
+		}
+		wantListed, wantDraining := endpoints, 0
+		switch states[1] {
+		case "gone":
+			wantListed = 0
+		case "draining":
+			wantDraining = endpoints
+		}
+		if pooled != wantListed || n.directory.Len() != wantListed || draining != wantDraining {
+			t.Errorf("%v: %d in the pool, %d draining; want %d and %d", states, pooled, draining, wantListed, wantDraining)
+		}
+	}
+}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -15,11 +15,11 @@
 
 // How the time up to SIGKILL is divided.
 const (
-	lastAnswerMargin = 300 * time.Millisecond // from the last response to SIGKILL: a busy node takes a while to write them
-	exitMargin       = 150 * time.Millisecond // from the node's exit to SIGKILL
-	lateConnectTime  = 450 * time.Millisecond // new connections still arrive for 0.2 to 0.4 s after SIGTERM,
-	minAcceptTime    = 600 * time.Millisecond // and are accepted also by a node that is held up for 0.15 s then
-	lastRequestsTime = time.Second            // for the last requests, once clients are asked to close, if there is time
+	lastResponseMargin = 300 * time.Millisecond // from the last response to SIGKILL: a busy node takes a while to write them
+	exitMargin         = 150 * time.Millisecond // from the node's exit to SIGKILL
+	lateConnectTime    = 450 * time.Millisecond // new connections still arrive for 0.2 to 0.4 s after SIGTERM,
+	minAcceptTime      = 600 * time.Millisecond // and are accepted also by a node that is held up for 0.15 s then
+	lastRequestsTime   = time.Second            // for the last requests, once clients are asked to close, if there is time
 )
 
 const (
@@ -42,7 +42,7 @@
 func newShutdownPhases(longestDeadline time.Duration) shutdownPhases {
 	kill := min(longestDeadline, maxKillDelay) + killSlack
 	p := shutdownPhases{
-		answered: kill - lastAnswerMargin,
+		answered: kill - lastResponseMargin,
 		closed:   kill - exitMargin,
 	}
 	p.keepServing = min(max(lateConnectTime, p.answered-lastRequestsTime), p.answered)
@@ -73,7 +73,7 @@
 func (f *frontend) shutDown(srv *http.Server, ln net.Listener, served <-chan error) error {
 	began := time.Now()
 	f.stopping.Store(true)
-	f.node.post(func() { f.node.answerBy(began.Add(f.phases.answered)) })
+	f.node.post(func() { f.node.tightenDeadlines(began.Add(f.phases.answered)) })
 	f.keepServing(f.connections.openConnections)
 	f.closing.Store(true)
 
@@ -105,3 +105,16 @@
 		time.Sleep(drainInterval)
 	}
 }
+
+// tightenDeadlines makes dueBy the latest deadline of all requests, of those that
+// are open and of those still to arrive, as the node is about to exit. It runs in
+// the loop.
+func (n *Node) tightenDeadlines(dueBy time.Time) {
+	n.responsesDueBy = dueBy
+	for _, r := range n.requests {
+		if !r.answered && dueBy.Before(r.deadline) {
+			r.deadline = dueBy
+			r.watchdog.Reset(time.Until(dueBy))
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/testconn_test.go
@@ -0,0 +1,136 @@
+package node
+
+import (
+	"net"
+	"os"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// faultyListener is a listener whose Accept a hook fails or delays.
+type faultyListener struct {
+	net.Listener
+	before func() error // called before each Accept, which returns its error
+}
+
+func (l faultyListener) Accept() (net.Conn, error) {
+	if err := l.before(); err != nil {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", err)}
+	}
+	return l.Listener.Accept()
+}
+
+// lateListener is a listener whose Accept reports its end only when it is
+// released.
+type lateListener struct {
+	net.Listener
+	closed  chan struct{} // closed when Accept has seen the end
+	release chan struct{}
+}
+
+func (l lateListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		close(l.closed)
+		<-l.release
+	}
+	return c, err
+}
+
+// splittingListener is a listener whose connections are read in two pieces, the
+// first of which is one byte longer with each connection, or byte by byte.
+type splittingListener struct {
+	net.Listener
+	accepted   atomic.Int64
+	byteByByte bool
+}
+
+type splitConn struct {
+	*net.TCPConn
+	firstPiece int // bytes that are left of it
+	byteByByte bool
+}
+
+func (l *splittingListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return &splitConn{c.(*net.TCPConn), int(l.accepted.Add(1)), l.byteByByte}, nil
+}
+
+func (c *splitConn) Read(b []byte) (int, error) {
+	switch {
+	case c.byteByByte:
+		b = b[:min(len(b), 1)]
+	case c.firstPiece > 0:
+		b = b[:min(len(b), c.firstPiece)]
+	}
+	n, err := c.TCPConn.Read(b)
+	c.firstPiece -= n
+	return n, err
+}
+
+// lateEndListener is a listener whose connections report their end only when they
+// are released, as in a process that is held up between the end and its next step.
+type lateEndListener struct {
+	net.Listener
+	release chan struct{}
+}
+
+type lateEndConn struct {
+	*net.TCPConn
+	release chan struct{}
+}
+
+func (l lateEndListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return lateEndConn{c.(*net.TCPConn), l.release}, nil
+}
+
+func (c lateEndConn) Read(b []byte) (int, error) {
+	n, err := c.TCPConn.Read(b)
+	if err != nil {
+		<-c.release
+	}
+	return n, err
+}
+
+// interruptedConn is a connection on which something happens between the call of
+// Read and its bytes.
+type interruptedConn struct {
+	*net.TCPConn
+	beforeRead func()
+}
+
+func (c interruptedConn) Read(b []byte) (int, error) {
+	c.beforeRead()
+	c.TCPConn.SetReadDeadline(time.Now().Add(testTimeout)) // the bytes arrived before the deadline was set
+	return c.TCPConn.Read(b)
+}
+
+// connectionPair returns the node's end and the client's end of a connection.
+func connectionPair(t *testing.T) (*clientConn, net.Conn) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	client, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	l := newConnectionLimiter(ln, 10, discardLog)
+	c, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close(); client.Close() })
+	c.SetReadDeadline(time.Now().Add(testTimeout))
+	return c.(*clientConn), client
+}
