--- a/internal/lab/scaling/mechanism.go
+++ b/internal/lab/scaling/mechanism.go
@@ -13,7 +13,7 @@
 	mechanismFetch       = "internal/discovery/request.go Client.request"
 	mechanismParse       = "internal/node/config.go ParseConfig; internal/settings/settings.go Decode"
 	mechanismStart       = "internal/node/config.go LoadConfig; internal/node/node.go Node.Run"
-	mechanismReload      = "internal/node/config.go LoadConfig; internal/node/node.go Node.Reload"
-	mechanismReloadFetch = "internal/node/node.go Node.Reload; internal/discovery/client.go Client.Run"
+	mechanismReload      = "internal/node/config.go LoadConfig; internal/node/reload.go Node.Reload"
+	mechanismReloadFetch = "internal/node/reload.go Node.Reload; internal/discovery/client.go Client.Run"
 	mechanismForward     = "internal/node/frontend.go frontend.ServeHTTP; internal/upstream/attempt.go Pool.Attempt"
 )
