--- a/internal/lab/arrivals/arrivals.go
+++ b/internal/lab/arrivals/arrivals.go
@@ -24,7 +24,8 @@
 	Work   time.Duration
 }
 
-// The streams of chance, so that what one law takes moves no other.
+// Streams of randomness, so that the draws of one distribution do not change
+// those of another.
 const (
 	streamWeights = 1<<32 + iota
 	streamTimes
@@ -35,79 +36,118 @@
 	streamWork
 )
 
-// All gives the requests of a scenario in order of time. They arrive by a
+// All returns the requests of a scenario sorted by time. They arrive by a
 // Poisson process over the whole fleet; a burst multiplies its rate, and
-// overlapping bursts multiply each other. Nothing is kept, so the stream may
-// be of any length, and it may be drawn again.
+// overlapping bursts multiply each other. Nothing is kept, so the stream may be
+// of any length, and it may be drawn again.
 func All(s *scenario.Scenario) iter.Seq[Arrival] {
 	return func(yield func(Arrival) bool) {
-		src := func(stream uint64) rand.Source { return rand.NewPCG(s.Seed, stream) }
-		gaps := distuv.Exponential{Rate: 1, Src: src(streamTimes)}
-		nodes := distuv.NewCategorical(NodeWeights(s), src(streamNodes))
-		parts, work, workSrc := make([]float64, len(s.Classes)), make([]distuv.Rander, len(s.Classes)), src(streamWork)
-		for i, c := range s.Classes {
-			parts[i], work[i] = c.Share, workDistribution(c, workSrc)
-		}
-		classes := distuv.NewCategorical(parts, src(streamClasses))
-		keys := zipf(s.Traffic.Keys, s.Traffic.KeySkew, src(streamKeys))
-		tenants := zipf(s.Traffic.Tenants, s.Traffic.TenantSkew, src(streamTenants))
-		at := 0.0
+		d := newDrawer(s)
 		for n := 0; ; n++ {
-			// A step of a process of rate 1, spread over the pieces of constant rate.
-			for left := gaps.Rand(); ; {
-				rate, until := rateAt(s, at)
-				if end := at + left/rate; end < until {
-					at = end
-					break
-				}
-				left -= (until - at) * rate
-				at = until
-			}
-			if at >= s.Length.Seconds() {
-				return
-			}
-			a := Arrival{Number: n, At: time.Duration(at * float64(time.Second)), Node: int(nodes.Rand()),
-				Class: int(classes.Rand()), Key: keys(), Tenant: tenants()}
-			a.Work = max(1, time.Duration(work[a.Class].Rand()*float64(time.Second)))
-			if !yield(a) {
+			at := d.nextTime()
+			if at >= s.Length.Seconds() || !yield(d.arrival(n, at)) {
 				return
 			}
 		}
 	}
 }
 
-// Weights is each node's part of the traffic, 1 in the median: drawn from a
-// log-normal law where the scenario wants it uneven.
+// drawer draws the attributes of arrivals.
+type drawer struct {
+	scenario *scenario.Scenario
+	at       float64 // of the last arrival, in seconds
+	gaps     distuv.Exponential
+	nodes    distuv.Categorical
+	classes  distuv.Categorical
+	keys     func() int
+	tenants  func() int
+	work     []distuv.Rander // by class, in seconds
+}
+
+func newDrawer(s *scenario.Scenario) *drawer {
+	source := func(stream uint64) rand.Source { return rand.NewPCG(s.Seed, stream) }
+	d := &drawer{
+		scenario: s,
+		gaps:     distuv.Exponential{Rate: 1, Src: source(streamTimes)},
+		nodes:    distuv.NewCategorical(NodeWeights(s), source(streamNodes)),
+		keys:     zipf(s.Traffic.Keys, s.Traffic.KeySkew, source(streamKeys)),
+		tenants:  zipf(s.Traffic.Tenants, s.Traffic.TenantSkew, source(streamTenants)),
+	}
+	workSource := source(streamWork)
+	var shares []float64
+	for _, c := range s.Classes {
+		shares = append(shares, c.Share)
+		d.work = append(d.work, workDistribution(c, workSource))
+	}
+	d.classes = distuv.NewCategorical(shares, source(streamClasses))
+	return d
+}
+
+// nextTime draws the time of the next arrival, in seconds: a step of a process
+// of rate 1, spread over the intervals of constant rate.
+func (d *drawer) nextTime() float64 {
+	left := d.gaps.Rand()
+	for {
+		rate, until := rateAt(d.scenario, d.at)
+		if end := d.at + left/rate; end < until {
+			d.at = end
+			return d.at
+		}
+		left -= (until - d.at) * rate
+		d.at = until
+	}
+}
+
+// arrival draws the attributes of an arrival.
+func (d *drawer) arrival(number int, at float64) Arrival {
+	a := Arrival{
+		Number: number,
+		At:     time.Duration(at * float64(time.Second)),
+		Node:   int(d.nodes.Rand()),
+		Class:  int(d.classes.Rand()),
+		Key:    d.keys(),
+		Tenant: d.tenants(),
+	}
+	a.Work = max(1, time.Duration(d.work[a.Class].Rand()*float64(time.Second)))
+	return a
+}
+
+// NodeWeights is each node's weight in the traffic, with median 1: drawn from a
+// log-normal distribution where the scenario has an imbalance.
 func NodeWeights(s *scenario.Scenario) []float64 {
-	w := make([]float64, s.Fleet.Nodes)
-	law := distuv.LogNormal{Sigma: s.Traffic.Imbalance, Src: rand.NewPCG(s.Seed, streamWeights)}
-	for i := range w {
-		if w[i] = 1; s.Traffic.Imbalance > 0 {
-			w[i] = law.Rand()
+	weights := make([]float64, s.Fleet.Nodes)
+	distribution := distuv.LogNormal{Sigma: s.Traffic.Imbalance, Src: rand.NewPCG(s.Seed, streamWeights)}
+	for i := range weights {
+		weights[i] = 1
+		if s.Traffic.Imbalance > 0 {
+			weights[i] = distribution.Rand()
 		}
 	}
-	return w
+	return weights
 }
 
-// rateAt gives the rate at a time, in seconds, and until when it holds.
+// rateAt is the rate at a time, in seconds, and until when it holds.
 func rateAt(s *scenario.Scenario, at float64) (rate, until float64) {
-	rate, until = s.Traffic.Rate, math.Inf(1)
+	rate = s.Traffic.Rate
+	until = math.Inf(1)
 	for _, e := range s.Events {
-		if e.Action != "burst" {
+		if e.Action != scenario.Burst {
 			continue
 		}
-		from, to := e.At.Seconds(), (e.At + e.Duration).Seconds()
+		from := e.At.Seconds()
+		to := (e.At + e.Duration).Seconds()
 		switch {
 		case at < from:
 			until = min(until, from)
 		case at < to:
-			rate, until = rate*e.Factor, min(until, to)
+			rate *= e.Factor
+			until = min(until, to)
 		}
 	}
 	return rate, until
 }
 
-// workOf is the law of a class's work, in seconds.
+// workDistribution is the distribution of a class's work, in seconds.
 func workDistribution(c scenario.Class, src rand.Source) distuv.Rander {
 	mean := c.Work.Seconds()
 	switch c.WorkVariation {
@@ -120,12 +160,14 @@
 	return distuv.Gamma{Alpha: shape, Beta: shape / mean, Src: src}
 }
 
+// constant is a distribution of one value.
 type constant float64
 
+// Rand returns the value.
 func (c constant) Rand() float64 { return float64(c) }
 
-// subjects draws one of n by Zipf's law, or all alike with a skew of 0; of
-// none it draws -1.
+// zipf draws one of n by Zipf's distribution, or uniformly with a skew of 0;
+// with n of 0 it draws -1.
 func zipf(n int, skew float64, src rand.Source) func() int {
 	r := rand.New(src)
 	switch {
--- a/internal/lab/arrivals/arrivals_test.go
+++ b/internal/lab/arrivals/arrivals_test.go
@@ -59,8 +59,8 @@
 	return s
 }
 
-// fits is a chi-squared test at 1 in 10,000.
-func fits(t *testing.T, what string, got, want []float64) {
+// checkFit is a chi-squared test at a significance of 1 in 10,000.
+func checkFit(t *testing.T, what string, got, want []float64) {
 	t.Helper()
 	if chi, most := stat.ChiSquare(got, want), (distuv.ChiSquared{K: float64(len(got) - 1)}).Quantile(0.9999); chi > most {
 		t.Errorf("%s: %.0f, want about %.0f (chi-squared %.1f, at most %.1f)", what, got, want, chi, most)
@@ -78,7 +78,7 @@
 	return out
 }
 
-func TestLaws(t *testing.T) {
+func TestDistributions(t *testing.T) {
 	s := load(t)
 	all := slices.Collect(All(s))
 	total := float64(len(all))
@@ -108,11 +108,11 @@
 	for i := range zipf {
 		zipf[i] = math.Pow(float64(i+1), -1.3)
 	}
-	fits(t, "seconds", seconds, rates)
-	fits(t, "nodes", nodes, scaled(NodeWeights(s), total))
-	fits(t, "classes", classes, scaled([]float64{3, 1, 1}, total))
-	fits(t, "keys", keys, scaled(zipf, total))
-	fits(t, "tenants", tenants, scaled([]float64{1, 1, 1, 1}, total))
+	checkFit(t, "seconds", seconds, rates)
+	checkFit(t, "nodes", nodes, scaled(NodeWeights(s), total))
+	checkFit(t, "classes", classes, scaled([]float64{3, 1, 1}, total))
+	checkFit(t, "keys", keys, scaled(zipf, total))
+	checkFit(t, "tenants", tenants, scaled([]float64{1, 1, 1, 1}, total))
 	for i, c := range s.Classes {
 		mean, sd := stat.MeanStdDev(work[i], nil)
 		want := c.Work.Seconds()
--- a/internal/lab/result/result_test.go
+++ b/internal/lab/result/result_test.go
@@ -3,6 +3,8 @@
 import (
 	"bytes"
 	"encoding/json"
+	"os"
+	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
@@ -27,7 +29,7 @@
 	}
 }
 
-func TestRunIsKeptWhole(t *testing.T) {
+func TestRunSurvivesJSON(t *testing.T) {
 	s := &scenario.Scenario{Name: "some", Seed: 3, Length: scenario.Duration(5 * time.Second), Warmup: scenario.Duration(time.Second)}
 	r := New(s, Hollow)
 	r.Latency["all"] = Latency{Count: 2, Mean: 0.1, P50: 0.1, P90: 0.2, P99: 0.3, P999: 0.4, Max: 0.5}
@@ -47,7 +49,7 @@
 	}
 }
 
-func TestRecoverAndCheck(t *testing.T) {
+func TestRecoveryAndBounds(t *testing.T) {
 	second := scenario.Duration(time.Second)
 	s := &scenario.Scenario{Length: 10 * second, Warmup: second, Events: []scenario.Event{{At: 3 * second, Duration: second, Action: "cut"}}}
 	r := New(s, Hollow)
@@ -70,7 +72,7 @@
 	}
 }
 
-func TestSumTakesTheWorst(t *testing.T) {
+func TestPeakTakesTheWorst(t *testing.T) {
 	var s Peak
 	s.Take(5, 10, 1*time.Second)
 	s.Take(6, 20, 2*time.Second)
@@ -83,3 +85,47 @@
 		t.Errorf("%+v, want the larger one", s)
 	}
 }
+
+// TestStoredRuns decodes the results that are stored with the documentation.
+func TestStoredRuns(t *testing.T) {
+	files, err := filepath.Glob("../../../docs/capacity/*.json")
+	if err != nil || len(files) < 10 {
+		t.Fatalf("%d files, error %v", len(files), err)
+	}
+	for _, file := range files {
+		name := strings.TrimSuffix(filepath.Base(file), ".json")
+		if name == "slopes" {
+			continue // a report of package scaling, which tests it
+		}
+		raw, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		decoder := json.NewDecoder(bytes.NewReader(raw))
+		decoder.DisallowUnknownFields()
+		var r Run
+		if err := decoder.Decode(&r); err != nil {
+			t.Errorf("%s: %v", file, err)
+			continue
+		}
+		if r.Scenario != name || r.Kind != Hollow && r.Kind != Real || r.Nodes == 0 || r.Requests.Offered == 0 || len(r.Windows) == 0 {
+			t.Errorf("%s: scenario %q, kind %q, %d nodes, %d requests, %d windows", file, r.Scenario, r.Kind, r.Nodes, r.Requests.Offered, len(r.Windows))
+		}
+		var again bytes.Buffer
+		if err := r.Write(&again); err != nil || !sameJSON(t, again.Bytes(), raw) {
+			t.Errorf("%s: written again it differs; error %v", file, err)
+		}
+	}
+}
+
+func sameJSON(t *testing.T, a, b []byte) bool {
+	t.Helper()
+	var x, y any
+	if err := json.Unmarshal(a, &x); err != nil {
+		t.Error(err)
+	}
+	if err := json.Unmarshal(b, &y); err != nil {
+		t.Error(err)
+	}
+	return reflect.DeepEqual(x, y)
+}
