--- a/cmd/bankshift-lab/agree.go
+++ b/cmd/bankshift-lab/agree.go
@@ -12,76 +12,86 @@
 	"bankshift/internal/lab/result"
 )
 
+type agreeCommand struct {
+	Scenario string  `arg:"" type:"existingfile" help:"Scenario file."`
+	Seed     *uint64 `help:"Instead of the scenario's."`
+	Node     string  `type:"existingfile" placeholder:"PATH" help:"The node's program; built first if left out."`
+}
+
 // comparison is a quantity that hollow and real nodes must agree on.
 type comparison struct {
-	name         string
-	hollow, real float64
-	tolerance    float64 // of the difference
+	name      string
+	hollow    float64
+	real      float64
+	tolerance float64 // of the difference
 }
 
-func (c comparison) holds() bool { return math.Abs(c.hollow-c.real) <= c.tolerance }
+func (c comparison) agrees() bool { return math.Abs(c.hollow-c.real) <= c.tolerance }
 
-// Tolerances of an agreement.
 const (
-	servedWithin   = 0.01 // of all requests: chance alone moves some in a thousand
-	attemptsWithin = 0.03 // a request
-	listsWithin    = 0.15 // of the list bytes: heads differ in lengths, and calls in number by the phase they were cut at
+	servedTolerance   = 0.01 // of all requests: chance alone changes some in a thousand
+	attemptsTolerance = 0.03 // attempts a request
+	listsTolerance    = 0.15 // fraction of the list bytes: headers differ in length, and polls in number by their phase
 )
 
 // compare puts two runs of one scenario side by side.
-func compare(h, r *result.Run) []comparison {
-	part := func(a, b int) float64 { return float64(a) / float64(max(1, b)) }
+func compare(hollow, real *result.Run) []comparison {
+	ratio := func(a, b int) float64 { return float64(a) / float64(max(1, b)) }
+	h := hollow.Requests
+	r := real.Requests
+	lists := max(hollow.Control.NodeRate, real.Control.NodeRate)
 	return []comparison{
-		{"share served", part(h.Requests.Served, h.Requests.Offered), part(r.Requests.Served, r.Requests.Offered), servedWithin},
-		{"attempts a request", part(h.Requests.Attempts, h.Requests.Offered), part(r.Requests.Attempts, r.Requests.Offered), attemptsWithin},
-		{"list bytes a node and second", h.Control.NodeRate, r.Control.NodeRate, listsWithin * max(h.Control.NodeRate, r.Control.NodeRate)},
+		{"share served", ratio(h.Served, h.Offered), ratio(r.Served, r.Offered), servedTolerance},
+		{"attempts a request", ratio(h.Attempts, h.Offered), ratio(r.Attempts, r.Offered), attemptsTolerance},
+		{"list bytes a node and second", hollow.Control.NodeRate, real.Control.NodeRate, listsTolerance * lists},
 	}
 }
 
-func (c *agreeCmd) Run(ctx context.Context, o out) error {
-	s, err := load(c.Scenario, c.Seed)
+// Run plays a scenario with hollow and with real nodes.
+func (c *agreeCommand) Run(ctx context.Context, o output) error {
+	s, err := loadScenario(c.Scenario, c.Seed)
 	if err != nil {
 		return err
 	}
 	if err := fleet.Check(s); err != nil {
 		return err
 	}
-	h, err := hollow.Run(ctx, s)
+	hollowRun, err := hollow.Run(ctx, s)
 	if err != nil {
 		return err
 	}
-	r, err := fleet.Run(ctx, s, fleet.Options{Node: c.Node})
+	realRun, err := fleet.Run(ctx, s, fleet.Options{Node: c.Node})
 	if err != nil {
 		return err
 	}
-	cs := compare(h, r)
-	if err := printAgreement(o.stdout, cs, h, r); err != nil {
+	comparisons := compare(hollowRun, realRun)
+	if err := printAgreement(o.stdout, comparisons, hollowRun, realRun); err != nil {
 		return err
 	}
-	for _, c := range cs {
-		if !c.holds() {
-			return errBroke
+	for _, c := range comparisons {
+		if !c.agrees() {
+			return errViolation
 		}
 	}
-	if len(h.Violations)+len(r.Violations) > 0 {
-		return errBroke
+	if len(hollowRun.Violations)+len(realRun.Violations) > 0 {
+		return errViolation
 	}
 	return nil
 }
 
-func printAgreement(w io.Writer, cs []comparison, h, r *result.Run) error {
+func printAgreement(w io.Writer, comparisons []comparison, runs ...*result.Run) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "quantity\thollow\treal\tdifference\ttolerance\t")
-	for _, c := range cs {
+	for _, c := range comparisons {
 		verdict := "agree"
-		if !c.holds() {
+		if !c.agrees() {
 			verdict = "DISAGREE"
 		}
 		fmt.Fprintf(t, "%s\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\n", c.name, c.hollow, c.real, c.real-c.hollow, c.tolerance, verdict)
 	}
-	for _, run := range []*result.Run{h, r} {
-		for _, b := range run.Violations {
-			fmt.Fprintf(t, "BROKEN\t%s: %s\n", run.Kind, b)
+	for _, run := range runs {
+		for _, v := range run.Violations {
+			fmt.Fprintf(t, "BROKEN\t%s: %s\n", run.Kind, v)
 		}
 	}
 	return t.Flush()
--- a/cmd/bankshift-lab/main_test.go
+++ b/cmd/bankshift-lab/main_test.go
@@ -36,10 +36,10 @@
 	return path
 }
 
-func call(t *testing.T, args ...string) (code int, stdout, stderr string) {
+func runLab(t *testing.T, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	var o, e bytes.Buffer
-	code = run(t.Context(), args, out{&o, &e})
+	code = run(t.Context(), args, output{&o, &e})
 	return code, o.String(), e.String()
 }
 
@@ -52,9 +52,9 @@
 		code int
 		says string // on either output
 	}{
-		{[]string{"run", good}, exitHeld, "served"},
-		{[]string{"run", good, "--hollow", "--seed", "9"}, exitHeld, "seed 9"},
-		{[]string{"run", bad}, exitBroke, "BROKEN"},
+		{[]string{"run", good}, exitOK, "served"},
+		{[]string{"run", good, "--hollow", "--seed", "9"}, exitOK, "seed 9"},
+		{[]string{"run", bad}, exitViolation, "BROKEN"},
 		{[]string{"run", scenarioFile(t, "length = 7\n")}, exitUsage, "length"},
 		{[]string{"run", good, "--hollow", "--real"}, exitUsage, "--real"},
 		{[]string{"run", "no-such-file.toml"}, exitUsage, "no-such-file"},
@@ -63,10 +63,10 @@
 		{[]string{"slopes", "nonsense", "--node", good}, exitUsage, "nonsense"},
 		{[]string{}, exitUsage, "run"},
 		{[]string{"nonsense"}, exitUsage, "nonsense"},
-		{[]string{"--help"}, exitHeld, "bankshift-lab agree scenarios/"},
-		{[]string{"slopes", "--help"}, exitHeld, strings.Join(scaling.Names()[:2], ", ")},
+		{[]string{"--help"}, exitOK, "bankshift-lab agree scenarios/"},
+		{[]string{"slopes", "--help"}, exitOK, strings.Join(scaling.Names()[:2], ", ")},
 	} {
-		code, o, e := call(t, c.args...)
+		code, o, e := runLab(t, c.args...)
 		if code != c.code || !strings.Contains(o+e, c.says) {
 			t.Errorf("%q: exit code %d, want %d and %q in\n%s%s", c.args, code, c.code, c.says, o, e)
 		}
@@ -76,14 +76,14 @@
 func TestJSON(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "run.json")
 	scenario := scenarioFile(t, small)
-	if code, o, e := call(t, "run", scenario, "--json", file); code != exitHeld || !strings.Contains(o, "served") {
+	if code, o, e := runLab(t, "run", scenario, "--json", file); code != exitOK || !strings.Contains(o, "served") {
 		t.Fatalf("%d\n%s%s", code, o, e)
 	}
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, o, _ := call(t, "run", scenario, "--json", "-")
+	_, o, _ := runLab(t, "run", scenario, "--json", "-")
 	for _, text := range []string{string(raw), o} {
 		var r result.Run
 		if err := json.Unmarshal([]byte(text), &r); err != nil || r.Kind != result.Hollow || r.Requests.Offered == 0 {
@@ -92,16 +92,16 @@
 	}
 }
 
-func TestCallingOff(t *testing.T) {
+func TestCancel(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	var o, e bytes.Buffer
-	if code := run(ctx, []string{"run", scenarioFile(t, small)}, out{&o, &e}); code != exitUsage || !strings.Contains(e.String(), "canceled") {
+	if code := run(ctx, []string{"run", scenarioFile(t, small)}, output{&o, &e}); code != exitUsage || !strings.Contains(e.String(), "canceled") {
 		t.Errorf("exit code %d: %s", code, e.String())
 	}
 }
 
-// TestCompare: each quantity is held to its own tolerance.
+// TestCompare: each quantity has its own tolerance.
 func TestCompare(t *testing.T) {
 	a := func() *result.Run {
 		r := &result.Run{Kind: result.Real}
@@ -116,8 +116,8 @@
 		r := a()
 		change(r)
 		for j, c := range compare(a(), r) {
-			if c.holds() != (i != j) {
-				t.Errorf("change %d: %+v holds: %t", i, c, c.holds())
+			if c.agrees() != (i != j) {
+				t.Errorf("change %d: %+v agrees: %t", i, c, c.agrees())
 			}
 		}
 	}
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestNodeStaysLean: the node and its decisions need neither the lab nor any
-// module besides the standard library.
+// TestNodeStaysLean: the node and the simulator's adapter depend on neither the
+// lab nor any module besides the standard library.
 func TestNodeStaysLean(t *testing.T) {
 	list, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}",
 		"bankshift/cmd/bankshift", "bankshift/cmd/simhost").Output()
@@ -143,7 +143,7 @@
 	}
 	for _, p := range packages {
 		if !strings.HasPrefix(p, "bankshift/") || strings.HasPrefix(p, "bankshift/internal/lab") {
-			t.Errorf("the node needs %s", p)
+			t.Errorf("the node depends on %s", p)
 		}
 	}
 }
--- /dev/null
+++ b/cmd/bankshift-lab/slopes.go
@@ -0,0 +1,56 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"time"
+
+	"bankshift/internal/lab/fleet"
+	"bankshift/internal/lab/scaling"
+)
+
+type slopesCommand struct {
+	What    []string      `arg:"" optional:"" help:"Measurements: ${measurements}. All if left out."`
+	JSON    string        `name:"json" placeholder:"FILE" help:"Write every point there too, - for standard output instead of the table."`
+	Node    string        `type:"existingfile" placeholder:"PATH" help:"The node's program; built first if left out."`
+	Measure time.Duration `default:"10s" help:"For which a real node is watched at each size."`
+}
+
+// Run makes measurements.
+func (c *slopesCommand) Run(ctx context.Context, o output) error {
+	dir, err := os.MkdirTemp("", "bankshift-lab-")
+	if err != nil {
+		return err
+	}
+	defer os.RemoveAll(dir)
+	program := c.Node
+	if program == "" {
+		program, err = fleet.Build(ctx, dir)
+		if err != nil {
+			return err
+		}
+	}
+	env := &scaling.Env{Node: program, Dir: dir, Measure: c.Measure, Log: o.logf}
+	r, err := scaling.Run(ctx, env, c.What...)
+	if err != nil {
+		return err
+	}
+	if err := o.writeResult(c.JSON, r.Write, r.Table); err != nil {
+		return err
+	}
+	if len(r.Violations) > 0 {
+		return errViolation
+	}
+	for i := range r.Figures {
+		if r.Figures[i].OverBudget() {
+			return errViolation
+		}
+	}
+	return nil
+}
+
+// logf prints the progress of measurements.
+func (o output) logf(format string, args ...any) {
+	fmt.Fprintf(o.stderr, format+"\n", args...)
+}
