--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -89,7 +89,7 @@
 	return mode == Normal || request.priority
 }
 
-// expectedTooLate reports whether, with endpoints crowded lately, a response in the usual time would be worth nothing.
+// expectedTooLate reports whether, with endpoints crowded lately, a response in the usual time would have no value.
 func (b *Balancer) expectedTooLate(request *request) bool {
 	class := request.class
 	crowdedLately := b.now < class.placement.noneNormalAt+shedPeriod
@@ -108,7 +108,7 @@
 	return b.rng.float64() < probability
 }
 
-// pastObjective reports whether a response so many seconds from now would be past the objective and worth nothing.
+// pastObjective reports whether a response so many seconds from now would be past the objective and have no value.
 func (b *Balancer) pastObjective(request *request, seconds float64) bool {
 	class := request.class
 	if class.LateWeight != 0 || class.LatencyObjective <= 0 {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -152,7 +152,7 @@
 	b.setTick()
 }
 
-// setTick asks for the next tick.
+// setTick sets the timer of the next tick.
 func (b *Balancer) setTick() {
 	b.emit(SetTimer{After: max(tickInterval, b.settings.MinEventInterval)})
 }
--- a/balancer/overload_behaviour_test.go
+++ b/balancer/overload_behaviour_test.go
@@ -201,7 +201,7 @@
 }
 
 // Guards against forgetting how fast an uncrowded fleet responds: an overload of a minute must not make the queues that
-// it causes look normal, or they grow until endpoints slow down.
+// it causes seem normal, or they grow until endpoints slow down.
 func TestLongOverloadDoesNotLengthenQueues(t *testing.T) {
 	settings := harnessSettings()
 	settings.Classes[1].LatencyObjective = 10 * time.Second // far off: only the uncrowded latency limits the queue
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -83,7 +83,7 @@
 	MaxRetryAfter      time.Duration // the longest Retry-After that clients follow
 	ClientsMarkRetries bool          // RequestArrived.IsRetry is set
 
-	// What requests are worth.
+	// The value of requests.
 	OverQuotaWeight float64 // value of a request over its tenant's quota, as a part of the class's
 	PriorityByWork  bool    // priority weights count per unit of work, not per request
 	Goal            Goal
