--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -31,6 +31,8 @@
 	paths     map[string]bool // files and folders, relative to the root
 	fileNames map[string]bool // without their folders
 	declared  map[string]bool // Go identifiers: packages, functions, types, fields, constants, variables
+	types     map[string]bool // of these, types
+	members   map[string]bool // fields and methods, as Type.Member
 	words     map[string]bool // words of string literals, struct tags and configuration files
 	imported  map[string]bool // imported packages, by their paths and by their names
 }
@@ -38,7 +40,7 @@
 func readCheckout(t *testing.T) checkout {
 	t.Helper()
 	c := checkout{paths: map[string]bool{}, fileNames: map[string]bool{}, declared: map[string]bool{},
-		words: map[string]bool{}, imported: map[string]bool{}}
+		types: map[string]bool{}, members: map[string]bool{}, words: map[string]bool{}, imported: map[string]bool{}}
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -99,6 +101,9 @@
 		switch decl := decl.(type) {
 		case *ast.FuncDecl:
 			c.declared[decl.Name.Name] = true
+			if decl.Recv != nil {
+				c.members[receiverType(decl)+"."+decl.Name.Name] = true
+			}
 		case *ast.GenDecl:
 			c.addSpecs(decl.Specs)
 		}
@@ -122,17 +127,35 @@
 				c.declared[name.Name] = true
 			}
 		case *ast.TypeSpec:
-			c.declared[spec.Name.Name] = true
-			ast.Inspect(spec.Type, func(n ast.Node) bool {
-				if field, ok := n.(*ast.Field); ok {
-					for _, name := range field.Names {
-						c.declared[name.Name] = true
-					}
-				}
-				return true
-			})
+			c.addType(spec)
+		}
+	}
+}
+
+// addType adds a type with its fields, and with its methods if it is an interface.
+func (c *checkout) addType(spec *ast.TypeSpec) {
+	c.declared[spec.Name.Name] = true
+	c.types[spec.Name.Name] = true
+	ast.Inspect(spec.Type, func(n ast.Node) bool {
+		if field, ok := n.(*ast.Field); ok {
+			for _, name := range field.Names {
+				c.declared[name.Name] = true
+				c.members[spec.Name.Name+"."+name.Name] = true
+			}
 		}
+		return true
+	})
+}
+
+func receiverType(method *ast.FuncDecl) string {
+	receiver := method.Recv.List[0].Type
+	if pointer, ok := receiver.(*ast.StarExpr); ok {
+		receiver = pointer.X
+	}
+	if name, ok := receiver.(*ast.Ident); ok {
+		return name.Name
 	}
+	return "" // of a generic type
 }
 
 // has tells whether a code span of a page names something that exists. Spans that are neither a path, a file nor an
@@ -157,6 +180,9 @@
 	if len(parts) > 1 && c.imported[parts[0]] && !c.declared[parts[0]] {
 		return true // of the standard library
 	}
+	if len(parts) == 2 && c.types[parts[0]] {
+		return c.members[span]
+	}
 	for _, part := range parts {
 		if !c.declared[part] && !c.words[part] {
 			return false
@@ -203,7 +229,7 @@
 	c := readCheckout(t)
 	for span, want := range map[string]bool{
 		"balancer/balancer.go": true, "balancer/nowhere.go": false, "go.mod": true, "nowhere.go": false,
-		"Balancer": true, "Balancer.Handle": true, "Balancer.NoSuchMethodAnywhere": false, "GW_CONFIG": true,
+		"Balancer": true, "Balancer.Handle": true, "Balancer.NoSuchMethodAnywhere": false, "Balancer.AppendReply": false, "GW_CONFIG": true,
 		"http.Server": true, "net/http": true, "net/nowhere": false, "TestPagesName...": true, "TestNoSuchPrefix...": false, "go test ./...": true,
 	} {
 		if got := c.has(span); got != want {
