--- a/internal/lab/arrivals/arrivals_test.go
+++ b/internal/lab/arrivals/arrivals_test.go
@@ -101,7 +101,8 @@
 	}
 	rates, zipf := make([]float64, 20), make([]float64, 100)
 	for i := range rates {
-		if rates[i] = 2000; i >= 8 && i < 12 {
+		rates[i] = 2000
+		if i >= 8 && i < 12 { // the burst
 			rates[i] = 6000
 		}
 	}
@@ -137,7 +138,8 @@
 	n := 0
 	for b.Loop() {
 		for range All(s) {
-			if n++; n%100000 == 0 {
+			n++
+			if n%100000 == 0 {
 				break
 			}
 		}
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"bankshift/balancer"
+	"bankshift/internal/lab/arrivals"
 	"bankshift/internal/lab/model"
 	"bankshift/internal/lab/result"
 	"bankshift/internal/lab/scenario"
@@ -207,108 +208,127 @@
 	}
 }
 
+// fixture is a run with one open request, which the test sends by itself.
+type fixture struct {
+	*sim
+	node    *hollowNode
+	request *request
+}
+
+// newFixture plays until the nodes are warm. The request is of the class with
+// an index.
+func newFixture(t *testing.T, class int) *fixture {
+	t.Helper()
+	s := load(t, "", "", "")
+	s.Traffic.Rate = 0.001 // none but the test's
+	m, err := newSim(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { m.stopArrivals() })
+	f := &fixture{sim: m, node: m.nodes[0]}
+	f.advance(m.trafficStart + 2*time.Second)
+	c := &client{sim: m, class: &m.classes[class], sentAt: m.now, deadline: m.now + time.Second, key: "k"}
+	c.arrival = arrivals.Arrival{Tenant: -1, Work: time.Minute, At: 2 * time.Second}
+	m.openClients++
+	f.request = &request{id: "r", client: c, class: c.class, arrivedAt: m.now, clientDeadline: c.deadline, deadline: c.deadline}
+	f.node.requests[f.request.id] = f.request
+	return f
+}
+
+// advance plays for a time.
+func (f *fixture) advance(d time.Duration) { f.run(context.Background(), f.now+d) }
+
+// send makes the node send to the i-th server, as if the balancer had said so.
+func (f *fixture) send(i int) {
+	id, _ := f.node.endpoints.ID(f.current[i].Name)
+	f.node.apply(balancer.Send{ID: f.request.id, Endpoint: id})
+	f.advance(0)
+}
+
+// sendAndCancel sends to the first server and cancels when the request is
+// there.
+func (f *fixture) sendAndCancel() {
+	f.send(0)
+	f.advance(5 * time.Millisecond)
+	f.request.attempts[0].cancel()
+}
+
+// sendToDrained sends to a server that has been listed as draining for long.
+func (f *fixture) sendToDrained() {
+	f.setStatus(f.current[0], model.Draining)
+	for v := range f.versionTimes {
+		f.versionTimes[v] = 0
+	}
+	for _, b := range f.node.pool.backends {
+		b.server = f.current[0]
+	}
+	f.send(1)
+	f.advance(5 * time.Millisecond)
+}
+
+// overloadCold makes a cold server crash when all nodes know of its start.
+func (f *fixture) overloadCold() {
+	sv := f.current[0]
+	f.startServer(sv)
+	f.advance(300 * time.Millisecond)
+	for range 200 {
+		sv.model.Connect(f.now)
+		f.lastWorkID++
+		sv.model.Arrive(f.now, nil, model.Work{ID: f.lastWorkID, Cost: f.scenario.MeanWork()})
+		f.checkColdLoad(sv, f.node)
+	}
+}
+
 // TestViolationsAreFound: what a balancer must not do is reported.
 func TestViolationsAreFound(t *testing.T) {
-	const ms = time.Millisecond
+	const read, save, order = 0, 1, 2 // classes
 	for _, c := range []struct {
-		name, class string
-		act         func(m *sim, n *hollowNode, r *request)
-		want        string
+		name  string
+		class int
+		act   func(f *fixture)
+		want  string
 	}{
-		{"attempts", "read", func(m *sim, n *hollowNode, r *request) {
-			for range 4 {
-				send(m, n, r, 0)
-				r.attempts[len(r.attempts)-1].cancel()
+		{"attempts", read, func(f *fixture) {
+			for i := range 4 {
+				f.send(0)
+				f.request.attempts[i].cancel()
 			}
 		}, "3 are allowed"},
-		{"overlap", "read", func(m *sim, n *hollowNode, r *request) { send(m, n, r, 0); send(m, n, r, 1) }, "two attempts"},
-		{"unsafe", "order", func(m *sim, n *hollowNode, r *request) {
-			send(m, n, r, 0)
-			m.run(context.Background(), m.now+5*ms)
-			r.attempts[0].cancel()
-			send(m, n, r, 1)
-		}, "unsafe"},
-		{"scope", "save", func(m *sim, n *hollowNode, r *request) {
-			send(m, n, r, 0)
-			m.run(context.Background(), m.now+5*ms)
-			r.attempts[0].cancel()
-			send(m, n, r, 1)
-		}, "leaves its cell"},
-		{"window", "save", func(m *sim, n *hollowNode, r *request) {
-			send(m, n, r, 0)
-			m.run(context.Background(), m.now+5*ms)
-			r.attempts[0].cancel()
-			m.classes[1].KeyWindow = scenario.Duration(ms)
-			m.run(context.Background(), m.now+100*ms)
-			send(m, n, r, 0)
-			m.run(context.Background(), m.now+5*ms)
+		{"overlap", read, func(f *fixture) { f.send(0); f.send(1) }, "two attempts"},
+		{"unsafe", order, func(f *fixture) { f.sendAndCancel(); f.send(1) }, "unsafe"},
+		{"scope", save, func(f *fixture) { f.sendAndCancel(); f.send(1) }, "leaves its cell"},
+		{"window", save, func(f *fixture) {
+			f.sendAndCancel()
+			f.classes[save].KeyWindow = scenario.Duration(time.Millisecond)
+			f.advance(100 * time.Millisecond)
+			f.send(0)
+			f.advance(5 * time.Millisecond)
 		}, "its key is known for"},
-		{"rejection", "order", func(m *sim, n *hollowNode, r *request) {
-			send(m, n, r, 0)
-			n.apply(balancer.Reject{ID: r.id})
+		{"rejection", order, func(f *fixture) {
+			f.send(0)
+			f.node.apply(balancer.Reject{ID: f.request.id})
 		}, "is refused"},
-		{"drain", "read", func(m *sim, n *hollowNode, r *request) {
-			m.setStatus(m.current[0], "draining")
-			for v := range m.versionTimes {
-				m.versionTimes[v] = 0 // long ago
-			}
-			for _, b := range n.pool.backends {
-				b.server = m.current[0]
-			}
-			send(m, n, r, 1)
-			m.run(context.Background(), m.now+5*ms)
-		}, "told as draining"},
-		{"late", "read", func(m *sim, n *hollowNode, r *request) {
-			r.clientDeadline = m.now - time.Second
-			n.apply(balancer.Fail{ID: r.id})
+		{"drain", read, (*fixture).sendToDrained, "told as draining"},
+		{"late", read, func(f *fixture) {
+			f.request.clientDeadline = f.now - time.Second
+			f.node.apply(balancer.Fail{ID: f.request.id})
 		}, "late"},
-		{"never", "read", func(m *sim, n *hollowNode, r *request) { r.answered = true }, "got no answer"},
-		{"cold", "read", func(m *sim, n *hollowNode, r *request) {
-			sv := m.current[0]
-			m.startServer(sv)
-			m.run(context.Background(), m.now+300*ms) // all are notified
-			for range 200 {
-				sv.model.Connect(m.now)
-				m.lastWorkID++
-				sv.model.Arrive(m.now, nil, model.Work{ID: uint64(m.lastWorkID), Cost: m.scenario.MeanWork()})
-				m.checkColdLoad(sv, n)
-			}
-		}, "that were told"},
+		{"never", read, func(f *fixture) { f.request.answered = true }, "got no answer"},
+		{"cold", read, (*fixture).overloadCold, "that were told"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := load(t, "", "", "")
-			s.Traffic.Rate = 0.001 // none but the test's
-			m, err := newSim(s)
-			if err != nil {
-				t.Fatal(err)
-			}
-			ctx := context.Background()
-			m.run(ctx, m.trafficStart+2*time.Second)
-			n := m.nodes[0]
-			k := &m.classes[map[string]int{"read": 0, "save": 1, "order": 2}[c.class]]
-			cl := &client{sim: m, class: k, sentAt: m.now, deadline: m.now + time.Second, key: "k"}
-			cl.arrival.Tenant, cl.arrival.Work, cl.arrival.At = -1, time.Minute, 2*time.Second
-			m.openClients++
-			r := &request{id: "r", client: cl, class: k, arrivedAt: m.now, clientDeadline: cl.deadline, deadline: cl.deadline}
-			n.requests[r.id] = r
-			c.act(m, n, r)
-			m.run(ctx, m.now+2*time.Second)
-			got := strings.Join(m.result().Violations, "\n")
+			f := newFixture(t, c.class)
+			c.act(f)
+			f.advance(2 * time.Second)
+			got := strings.Join(f.result().Violations, "\n")
 			if !strings.Contains(got, c.want) {
 				t.Errorf("violations: %q, want %q", got, c.want)
 			}
-			m.stopArrivals()
 		})
 	}
 }
 
-// send has the node send to the i-th of its servers, as if the balancer had said so.
-func send(m *sim, n *hollowNode, r *request, i int) {
-	id, _ := n.endpoints.ID(m.current[i].Name)
-	n.apply(balancer.Send{ID: r.id, Endpoint: id})
-	m.run(context.Background(), m.now)
-}
-
 // BenchmarkSecond is a second of 45 nodes, 450 servers and 8,100 requests/s.
 func BenchmarkSecond(b *testing.B) {
 	s := load(b, "", "", "")
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -126,7 +126,8 @@
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		if ids = append(ids, r.Header.Get("X-Request-Id")); r.Header.Get("X-Retry") == "1" {
+		ids = append(ids, r.Header.Get("X-Request-Id"))
+		if r.Header.Get("X-Retry") == "1" {
 			marks++
 		}
 		if len(ids) == 1 {
--- a/internal/lab/model/registry_test.go
+++ b/internal/lab/model/registry_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"reflect"
 	"slices"
@@ -62,6 +63,17 @@
 	}
 }
 
+// applyChanges changes a list as a node does.
+func applyChanges(list map[string]Entry, changes []Entry) {
+	for _, e := range changes {
+		if e.Status == Removed {
+			delete(list, e.Name)
+		} else {
+			list[e.Name] = e
+		}
+	}
+}
+
 // TestListOfEachVersion: nodes that learn of changes at different times each get
 // the list of their version; the whole list and the changes agree.
 func TestListOfEachVersion(t *testing.T) {
@@ -74,19 +86,14 @@
 	r.SetIsolated(0, 3, true) // for most of the time
 	for i := range steps {
 		now := time.Duration(i) * ms
-		next := map[string]Entry{}
-		for k, v := range truth[i] {
-			next[k] = v
-		}
+		next := maps.Clone(truth[i])
 		var changed []Entry
 		for range 1 + rng.IntN(4) {
 			e := entryOf(rng.IntN(40), []string{Ready, Draining, Removed}[rng.IntN(3)])
 			e.Weight = float64(i)
 			changed = append(changed, e)
-			if next[e.Name] = e; e.Status == Removed {
-				delete(next, e.Name)
-			}
 		}
+		applyChanges(next, changed)
 		truth = append(truth, next)
 		if err := r.Change(now, changed...); err != nil {
 			t.Fatal(err)
@@ -104,12 +111,9 @@
 			if a.Snapshot || held[n] == nil {
 				held[n] = map[string]Entry{}
 			}
-			for _, e := range l.Endpoints {
-				if held[n][e.Name] = e; e.Status == Removed {
-					delete(held[n], e.Name)
-				}
-			}
-			if at[n] = a.Version; !reflect.DeepEqual(held[n], truth[a.Version]) {
+			applyChanges(held[n], l.Endpoints)
+			at[n] = a.Version
+			if !reflect.DeepEqual(held[n], truth[a.Version]) {
 				t.Fatalf("step %d, node %d: version %d (whole %v) is wrong", i, n, a.Version, a.Snapshot)
 			}
 			if late := now - time.Duration(a.Version)*ms; n != 3 && late > r.Delay(n) { // version i+1 came at i
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -2,17 +2,18 @@
 
 import "time"
 
+const (
+	millisecond = Duration(time.Millisecond)
+	second      = Duration(time.Second)
+)
+
 // defaults is what a file leaves out. The figures of servers and rules are those
 // of the example settings on the wire's page.
 func defaults() Scenario {
-	const (
-		ms = Duration(time.Millisecond)
-		s  = Duration(time.Second)
-	)
 	return Scenario{
 		Seed:   1,
-		Length: 10 * s,
-		Warmup: 2 * s,
+		Length: 10 * second,
+		Warmup: 2 * second,
 		Fleet: Fleet{
 			Nodes:             3,
 			Cores:             1,
@@ -22,50 +23,54 @@
 			MaxAttempts:       3,
 			CancelAllowed:     true,
 			RetryAfterAllowed: true,
-			RestartTime:       2 * s,
+			RestartTime:       2 * second,
 		},
 		Network: Network{
-			SameZone:       ms / 4,
-			SameRegion:     ms,
-			CrossRegion:    20 * ms,
-			Jitter:         ms / 10,
-			ConnectTimeout: 150 * ms,
-			LateBy:         100 * ms,
-		},
-		Servers: Servers{
-			Count:          12,
-			Services:       1,
-			CellSize:       4,
-			QueueLimit:     64,
-			MaxConnections: 1024,
-			Handshake:      ms,
-			IdleTimeout:    60 * s,
-			ColdCapacity:   0.12,
-			WarmupTime:     23 * s,
-			CrashFactor:    4,
-			CrashWindow:    s,
-			CrashDowntime:  10 * s,
-			Deduplicate:    true,
+			SameZone:       millisecond / 4,
+			SameRegion:     millisecond,
+			CrossRegion:    20 * millisecond,
+			Jitter:         millisecond / 10,
+			ConnectTimeout: 150 * millisecond,
+			LateBy:         100 * millisecond,
 		},
+		Servers: defaultServers(),
 		Discovery: Discovery{
-			Delay:        100 * ms,
-			DelaySpread:  100 * ms,
-			ResponseTime: ms,
-			DrainGrace:   s,
-			PollInterval: 10 * s,
+			Delay:        100 * millisecond,
+			DelaySpread:  100 * millisecond,
+			ResponseTime: millisecond,
+			DrainGrace:   second,
+			PollInterval: 10 * second,
 		},
 		Traffic: Traffic{
 			Rate:          100,
 			Keys:          1000,
 			Quota:         5,
 			Retries:       2,
-			Backoff:       200 * ms,
-			FailoverDelay: 2 * s,
+			Backoff:       200 * millisecond,
+			FailoverDelay: 2 * second,
 			Connections:   64,
 		},
 	}
 }
 
+func defaultServers() Servers {
+	return Servers{
+		Count:          12,
+		Services:       1,
+		CellSize:       4,
+		QueueLimit:     64,
+		MaxConnections: 1024,
+		Handshake:      millisecond,
+		IdleTimeout:    60 * second,
+		ColdCapacity:   0.12,
+		WarmupTime:     23 * second,
+		CrashFactor:    4,
+		CrashWindow:    second,
+		CrashDowntime:  10 * second,
+		Deduplicate:    true,
+	}
+}
+
 // defaultKeyWindow is how long keys are remembered where a class does not say.
 const defaultKeyWindow = Duration(5 * time.Second)
 
