--- a/cmd/bankshift-lab/stored_test.go
+++ b/cmd/bankshift-lab/journal_test.go
@@ -7,25 +7,8 @@
 	"strings"
 	"testing"
 	"time"
-
-	"bankshift/internal/lab/scenario"
 )
 
-// TestScenarios loads every stored scenario.
-func TestScenarios(t *testing.T) {
-	files := glob(t, "../../scenarios/*.toml", 10)
-	for _, file := range files {
-		s, err := scenario.Load(file)
-		if err != nil {
-			t.Error(err)
-			continue
-		}
-		if name := strings.TrimSuffix(filepath.Base(file), ".toml"); s.Name != name {
-			t.Errorf("%s has the name %q", file, s.Name)
-		}
-	}
-}
-
 // journalEntry is the main part of an entry of the journal.
 type journalEntry struct {
 	Version *int                       `json:"v"`
@@ -45,7 +28,11 @@
 
 // TestJournal reads the main keys of every entry of the journal.
 func TestJournal(t *testing.T) {
-	for _, file := range glob(t, "../../journal/*.json", 600) {
+	files, err := filepath.Glob("../../journal/*.json")
+	if err != nil || len(files) < 600 {
+		t.Fatalf("%d entries, error %v", len(files), err)
+	}
+	for _, file := range files {
 		raw, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
@@ -86,13 +73,3 @@
 	end, err := time.Parse(time.RFC3339, at[1])
 	return err == nil && !end.Before(begin)
 }
-
-// glob finds stored files, of which there are at least least.
-func glob(t *testing.T, pattern string, least int) []string {
-	t.Helper()
-	files, err := filepath.Glob(pattern)
-	if err != nil || len(files) < least {
-		t.Fatalf("%d files %s, want %d or more, error %v", len(files), pattern, least, err)
-	}
-	return files
-}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -273,13 +273,15 @@
 	for range 100 {
 		recordDuration(p.report.SendDelay, 500*time.Microsecond)
 	}
-	if p.checkSendDelay(); len(p.report.Violations) != 0 {
+	p.checkSendDelay()
+	if len(p.report.Violations) != 0 {
 		t.Errorf("in time, yet %q", p.report.Violations)
 	}
 	for range 10 {
 		recordDuration(p.report.SendDelay, 2*time.Millisecond)
 	}
-	if p.checkSendDelay(); len(p.report.Violations) != 1 || !strings.Contains(p.report.Violations[0], "late") {
+	p.checkSendDelay()
+	if len(p.report.Violations) != 1 || !strings.Contains(p.report.Violations[0], "late") {
 		t.Errorf("late, and %q", p.report.Violations)
 	}
 }
--- a/internal/lab/model/server_test.go
+++ b/internal/lab/model/server_test.go
@@ -161,7 +161,8 @@
 	for i := range 442 {
 		s.Arrive(restart+time.Duration(i), nil, w)
 	}
-	if s.Arrive(restart+time.Second, nil, w); s.Stats().Crashes != 1 {
+	s.Arrive(restart+time.Second, nil, w)
+	if s.Stats().Crashes != 1 {
 		t.Errorf("crashed %d times; of the window of a second one has gone when one more comes", s.Stats().Crashes)
 	}
 	for range 10 {
@@ -289,7 +290,8 @@
 	s.Arrive(500, nil, Work{ID: 8, Cost: 100})
 	s.Arrive(500, b, Work{ID: 9, Cost: 100}) // waits
 	s.Kill(501)
-	if s.Start(501); len(s.Advance(501)) != 2 || b.Open(501) {
+	s.Start(501)
+	if len(s.Advance(501)) != 2 || b.Open(501) {
 		t.Error("a kill ends two requests and a connection")
 	}
 	s.CloseConn(502, b) // of before: it means nothing to the new process
--- a/internal/lab/result/result_test.go
+++ b/internal/lab/result/result_test.go
@@ -56,14 +56,16 @@
 	for _, served := range []float64{0, 10, 10, 0, 0, 9.1, 0, 9, 10, 10} {
 		r.Windows = append(r.Windows, Window{Weight: 10, ServedWeight: served})
 	}
-	if r.FindRecovery(s); r.Recovery != 3 {
+	r.FindRecovery(s)
+	if r.Recovery != 3 {
 		t.Errorf("recovery %v s, want 3: the second at 5 s is alone", r.Recovery)
 	}
 	none := 0
 	r.Requests, r.Crashes, r.Control = Requests{Offered: 10, Attempts: 12, Weight: 10, ServedWeight: 9}, 1, Control{NodeRate: 5, WorstRate: 9}
 	r.Latency["all"] = Latency{P99: 0.2}
 	met := scenario.Bounds{Served: 0.9, Attempts: 1.2, P99: second / 5, ListRate: 5, WorstListRate: 9, Recovery: 3 * second}
-	if r.CheckBounds(met); len(r.Violations) != 0 {
+	r.CheckBounds(met)
+	if len(r.Violations) != 0 {
 		t.Errorf("%q", r.Violations)
 	}
 	r.CheckBounds(scenario.Bounds{Served: 0.91, Attempts: 1.1, P99: second / 6, ListRate: 4, WorstListRate: 8, Recovery: 2 * second, Crashes: &none})
@@ -81,7 +83,8 @@
 	}
 	s = Peak{}
 	s.Take(5, 0, 1*time.Second)
-	if s.Take(6, 0, 2*time.Second); s.Worst != 6 {
+	s.Take(6, 0, 2*time.Second)
+	if s.Worst != 6 {
 		t.Errorf("%+v, want the larger one", s)
 	}
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -1,6 +1,7 @@
 package scenario
 
 import (
+	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
@@ -189,3 +190,24 @@
 		t.Errorf("the last event ends at %v", end)
 	}
 }
+
+// TestStoredScenarios loads all scenario files.
+func TestStoredScenarios(t *testing.T) {
+	files, err := filepath.Glob("../../../scenarios/*.toml")
+	if err != nil || len(files) < 10 {
+		t.Fatalf("%d scenarios, error %v", len(files), err)
+	}
+	for _, file := range files {
+		s, err := Load(file)
+		if err != nil {
+			t.Error(err)
+			continue
+		}
+		if name := strings.TrimSuffix(filepath.Base(file), ".toml"); s.Name != name {
+			t.Errorf("%s has the name %q", file, s.Name)
+		}
+		if s.About == "" {
+			t.Errorf("%s does not say what it is about", file)
+		}
+	}
+}
