--- a/balancer/request.go
+++ b/balancer/request.go
@@ -27,7 +27,7 @@
 	class        *class
 	arrivedAt    Time
 	deadline     Time
-	spentBefore  time.Duration // how long its client had waited in earlier tries, at least
+	spentBefore  time.Duration // how long its client had waited in earlier tries, as far as known
 	relativeWork float64       // its work by its hint, as a multiple of its class's mean
 	attempts     []attempt
 	inFlight     int  // attempts that have not ended
