--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"bankshift/balancer"
+	"bankshift/internal/lab/arrivals"
 	"bankshift/internal/lab/model"
 	"bankshift/internal/lab/result"
 	"bankshift/internal/lab/scenario"
@@ -78,7 +79,7 @@
 	return r
 }
 
-func happens(lines ...string) string {
+func eventAt2s(lines ...string) string {
 	return "[[event]]\nat = \"2s\"\n" + strings.Join(lines, "\n") + "\n"
 }
 
@@ -86,7 +87,7 @@
 	r := play(t, load(t, "", "tenants = 10\nquota = 10", ""))
 	q := r.Requests
 	if q.Offered < 900 || q.Offered > 1100 || q.Lost != 0 || len(r.Violations) > 0 || float64(q.WithinObjective) < 0.99*float64(q.Offered) {
-		t.Errorf("%+v, broken %q", q, r.Violations)
+		t.Errorf("%+v, violations %q", q, r.Violations)
 	}
 	if q.Served+q.Rejected+q.Failed != q.Offered || q.Tries < q.Offered || q.Attempts < q.Served {
 		t.Errorf("counts do not add up: %+v", q)
@@ -107,12 +108,12 @@
 	}
 }
 
-// TestSameSeedSameResult: but for the cost, byte by byte, with everything
-// going wrong at once.
+// TestSameSeedSameResult compares all but the cost byte by byte, with many faults
+// at once.
 func TestSameSeedSameResult(t *testing.T) {
-	events := happens(`do = "cut"`, `for = "1s"`, `zone = "a"`) + happens(`do = "kill-nodes"`, `count = 1`) +
-		happens(`do = "lose-servers"`, `for = "1s"`, `count = 3`) + happens(`do = "discovery-silent"`, `for = "1s"`) +
-		happens(`do = "burst"`, `for = "1s"`, `by = 3`) + happens(`do = "replace-servers"`, `count = 2`)
+	events := eventAt2s(`do = "cut"`, `for = "1s"`, `zone = "a"`) + eventAt2s(`do = "kill-nodes"`, `count = 1`) +
+		eventAt2s(`do = "lose-servers"`, `for = "1s"`, `count = 3`) + eventAt2s(`do = "discovery-silent"`, `for = "1s"`) +
+		eventAt2s(`do = "burst"`, `for = "1s"`, `by = 3`) + eventAt2s(`do = "replace-servers"`, `count = 2`)
 	text := func(seed uint64) string {
 		s := load(t, "", "", events)
 		s.Seed = seed
@@ -133,62 +134,62 @@
 	}
 }
 
-// TestDeeds: each does what it says. None breaks a rule.
-func TestDeeds(t *testing.T) {
-	part := func(r *result.Run, second int) float64 {
+// TestActions: each has its effect, and none leads to a violation.
+func TestActions(t *testing.T) {
+	servedFraction := func(r *result.Run, second int) float64 {
 		return float64(r.Windows[second].Served) / float64(r.Windows[second].Offered)
 	}
-	sum := func(r *result.Run, name string) float64 { return r.Peaks[name].Worst }
+	peak := func(r *result.Run, name string) float64 { return r.Peaks[name].Worst }
 	for _, c := range []struct {
 		name, discovery, events string
 		want                    func(*result.Run) bool
 	}{
-		{"restart-servers", "", happens(`do = "restart-servers"`, `for = "500ms"`, `part = 0.5`), func(r *result.Run) bool {
-			return r.Control.Changes == 6 && sum(r, "sends_to_absent") > 0 && r.Recovery >= 0 && r.Recovery < 2
+		{"restart-servers", "", eventAt2s(`do = "restart-servers"`, `for = "500ms"`, `part = 0.5`), func(r *result.Run) bool {
+			return r.Control.Changes == 6 && peak(r, "sends_to_absent") > 0 && r.Recovery >= 0 && r.Recovery < 2
 		}},
-		{"replace-servers", "", happens(`do = "replace-servers"`, `count = 3`), func(r *result.Run) bool {
-			return r.Control.Changes == 9 && part(r, 2) > 0.97 && part(r, 4) > 0.97
+		{"replace-servers", "", eventAt2s(`do = "replace-servers"`, `count = 3`), func(r *result.Run) bool {
+			return r.Control.Changes == 9 && servedFraction(r, 2) > 0.97 && servedFraction(r, 4) > 0.97
 		}},
-		{"drain-servers", "", happens(`do = "drain-servers"`, `for = "1s"`, `count = 3`), func(r *result.Run) bool {
-			return r.Control.Changes == 6 && part(r, 2) > 0.97 && sum(r, "sends_to_absent") == 0
+		{"drain-servers", "", eventAt2s(`do = "drain-servers"`, `for = "1s"`, `count = 3`), func(r *result.Run) bool {
+			return r.Control.Changes == 6 && servedFraction(r, 2) > 0.97 && peak(r, "sends_to_absent") == 0
 		}},
-		{"hang-servers", "", happens(`do = "hang-servers"`, `for = "1s"`), func(r *result.Run) bool {
-			return part(r, 2) < 0.9 && part(r, 5) > 0.97 && r.Control.Changes == 0
+		{"hang-servers", "", eventAt2s(`do = "hang-servers"`, `for = "1s"`), func(r *result.Run) bool {
+			return servedFraction(r, 2) < 0.9 && servedFraction(r, 5) > 0.97 && r.Control.Changes == 0
 		}},
-		{"slow-servers", "", happens(`do = "slow-servers"`, `for = "1s"`, `by = 4`), func(r *result.Run) bool {
+		{"slow-servers", "", eventAt2s(`do = "slow-servers"`, `for = "1s"`, `by = 4`), func(r *result.Run) bool {
 			return r.Latency["all"].P99 > 0.15 // as ever, 0.1
 		}},
-		{"fail-servers", "", happens(`do = "fail-servers"`, `for = "1s"`), func(r *result.Run) bool {
-			return part(r, 2) < 0.5 && part(r, 5) > 0.97 && r.Requests.Wasted > 0.05
+		{"fail-servers", "", eventAt2s(`do = "fail-servers"`, `for = "1s"`), func(r *result.Run) bool {
+			return servedFraction(r, 2) < 0.5 && servedFraction(r, 5) > 0.97 && r.Requests.Wasted > 0.05
 		}},
-		{"lose-servers", "", happens(`do = "lose-servers"`, `for = "1s"`, `count = 6`), func(r *result.Run) bool {
-			return r.Control.Changes == 6 && sum(r, "sends_to_absent") > 0
+		{"lose-servers", "", eventAt2s(`do = "lose-servers"`, `for = "1s"`, `count = 6`), func(r *result.Run) bool {
+			return r.Control.Changes == 6 && peak(r, "sends_to_absent") > 0
 		}},
-		{"cut", "", happens(`do = "cut"`, `for = "1s"`, `region = "east"`) + happens(`do = "change-lists"`, `count = 2`), func(r *result.Run) bool {
-			return sum(r, "sends_to_absent") > 0 && r.Control.Notification.Max > 1 && r.Control.Notification.Count == 8
+		{"cut", "", eventAt2s(`do = "cut"`, `for = "1s"`, `region = "east"`) + eventAt2s(`do = "change-lists"`, `count = 2`), func(r *result.Run) bool {
+			return peak(r, "sends_to_absent") > 0 && r.Control.Notification.Max > 1 && r.Control.Notification.Count == 8
 		}},
-		{"kill-nodes", "", happens(`do = "kill-nodes"`, `count = 1`), func(r *result.Run) bool {
-			return r.Control.Snapshots == 1 && r.Latency["all"].P99 > 0.2 && part(r, 5) > 0.97
+		{"kill-nodes", "", eventAt2s(`do = "kill-nodes"`, `count = 1`), func(r *result.Run) bool {
+			return r.Control.Snapshots == 1 && r.Latency["all"].P99 > 0.2 && servedFraction(r, 5) > 0.97
 		}},
-		{"restart-nodes", "", happens(`do = "restart-nodes"`, `count = 1`), func(r *result.Run) bool {
+		{"restart-nodes", "", eventAt2s(`do = "restart-nodes"`, `count = 1`), func(r *result.Run) bool {
 			return r.Control.Snapshots == 1 && r.Requests.Failed == 0 && r.Latency["all"].P99 < 0.2
 		}},
-		{"change-lists", "", happens(`do = "change-lists"`, `count = 10`, `over = "1s"`), func(r *result.Run) bool {
+		{"change-lists", "", eventAt2s(`do = "change-lists"`, `count = 10`, `over = "1s"`), func(r *result.Run) bool {
 			return r.Control.Changes == 10 && r.Control.Notification.Count == 40 && r.Control.Notification.Max < 0.3 && r.Control.Notification.Mean > 0.1
 		}},
-		{"discovery-down", "", happens(`do = "discovery-down"`, `for = "1s"`) + happens(`do = "change-lists"`, `count = 1`), func(r *result.Run) bool {
-			return r.Control.Notification.P50 > 1 && r.Control.Notification.Count == 4 && part(r, 2) > 0.97
+		{"discovery-down", "", eventAt2s(`do = "discovery-down"`, `for = "1s"`) + eventAt2s(`do = "change-lists"`, `count = 1`), func(r *result.Run) bool {
+			return r.Control.Notification.P50 > 1 && r.Control.Notification.Count == 4 && servedFraction(r, 2) > 0.97
 		}},
-		{"discovery-silent", "", happens(`do = "discovery-silent"`, `for = "1s"`) + happens(`do = "change-lists"`, `count = 1`), func(r *result.Run) bool {
-			return r.Control.Notification.P50 > 1 && r.Control.Notification.Count == 4 && part(r, 2) > 0.97
+		{"discovery-silent", "", eventAt2s(`do = "discovery-silent"`, `for = "1s"`) + eventAt2s(`do = "change-lists"`, `count = 1`), func(r *result.Run) bool {
+			return r.Control.Notification.P50 > 1 && r.Control.Notification.Count == 4 && servedFraction(r, 2) > 0.97
 		}},
-		{"watches-break", "asked = true", happens(`do = "watches-break"`), func(r *result.Run) bool {
-			return r.Control.Calls == 8 && part(r, 2) > 0.97 // of each node one answered at once, and the next watch
+		{"watches-break", "asked = true", eventAt2s(`do = "watches-break"`), func(r *result.Run) bool {
+			return r.Control.Calls == 8 && servedFraction(r, 2) > 0.97 // of each node one answered at once, and the next watch
 		}},
-		{"asked lists", "asked = true", happens(`do = "change-lists"`, `count = 2`, `over = "1s"`), func(r *result.Run) bool {
+		{"asked lists", "asked = true", eventAt2s(`do = "change-lists"`, `count = 2`, `over = "1s"`), func(r *result.Run) bool {
 			return r.Control.Notification.Count == 8 && r.Control.Calls == 8
 		}},
-		{"burst", "", happens(`do = "burst"`, `for = "1s"`, `by = 3`), func(r *result.Run) bool {
+		{"burst", "", eventAt2s(`do = "burst"`, `for = "1s"`, `by = 3`), func(r *result.Run) bool {
 			return r.Windows[2].Offered > 2*r.Windows[1].Offered && r.Windows[3].Offered < 300
 		}},
 	} {
@@ -196,7 +197,7 @@
 			t.Parallel()
 			r := play(t, load(t, c.discovery, "", c.events))
 			if len(r.Violations) > 0 || r.Requests.Lost > 0 {
-				t.Errorf("%d lost, broken: %q", r.Requests.Lost, r.Violations)
+				t.Errorf("%d lost, violations: %q", r.Requests.Lost, r.Violations)
 			}
 			if !c.want(r) {
 				var b bytes.Buffer
@@ -207,108 +208,127 @@
 	}
 }
 
-// TestRulesCanBreak: a module that did what it must not would be found out.
-func TestRulesCanBreak(t *testing.T) {
-	const ms = time.Millisecond
+// fixture is a run with one open request, which the test sends by itself.
+type fixture struct {
+	*sim
+	node    *hollowNode
+	request *request
+}
+
+// newFixture plays until the nodes are warm. The request is of the class with
+// an index.
+func newFixture(t *testing.T, class int) *fixture {
+	t.Helper()
+	s := load(t, "", "", "")
+	s.Traffic.Rate = 0.001 // none but the test's
+	m, err := newSim(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { m.stopArrivals() })
+	f := &fixture{sim: m, node: m.nodes[0]}
+	f.advance(m.trafficStart + 2*time.Second)
+	c := &client{sim: m, class: &m.classes[class], sentAt: m.now, deadline: m.now + time.Second, key: "k"}
+	c.arrival = arrivals.Arrival{Tenant: -1, Work: time.Minute, At: 2 * time.Second}
+	m.openClients++
+	f.request = &request{id: "r", client: c, class: c.class, arrivedAt: m.now, clientDeadline: c.deadline, deadline: c.deadline}
+	f.node.requests[f.request.id] = f.request
+	return f
+}
+
+// advance plays for a time.
+func (f *fixture) advance(d time.Duration) { f.run(context.Background(), f.now+d) }
+
+// send makes the node send to the i-th server, as if the balancer had said so.
+func (f *fixture) send(i int) {
+	id, _ := f.node.endpoints.ID(f.current[i].Name)
+	f.node.apply(balancer.Send{ID: f.request.id, Endpoint: id})
+	f.advance(0)
+}
+
+// sendAndCancel sends to the first server and cancels when the request is
+// there.
+func (f *fixture) sendAndCancel() {
+	f.send(0)
+	f.advance(5 * time.Millisecond)
+	f.request.attempts[0].cancel()
+}
+
+// sendToDrained sends to a server that has been listed as draining for long.
+func (f *fixture) sendToDrained() {
+	f.setStatus(f.current[0], model.Draining)
+	for v := range f.versionTimes {
+		f.versionTimes[v] = 0
+	}
+	for _, b := range f.node.pool.backends {
+		b.server = f.current[0]
+	}
+	f.send(1)
+	f.advance(5 * time.Millisecond)
+}
+
+// overloadCold makes a cold server crash when all nodes know of its start.
+func (f *fixture) overloadCold() {
+	sv := f.current[0]
+	f.startServer(sv)
+	f.advance(300 * time.Millisecond)
+	for range 200 {
+		sv.model.Connect(f.now)
+		f.lastWorkID++
+		sv.model.Arrive(f.now, nil, model.Work{ID: f.lastWorkID, Cost: f.scenario.MeanWork()})
+		f.checkColdLoad(sv, f.node)
+	}
+}
+
+// TestViolationsAreFound: what a balancer must not do is reported.
+func TestViolationsAreFound(t *testing.T) {
+	const read, save, order = 0, 1, 2 // classes
 	for _, c := range []struct {
-		name, class string
-		deed        func(m *sim, n *hollowNode, r *request)
-		want        string
+		name  string
+		class int
+		act   func(f *fixture)
+		want  string
 	}{
-		{"attempts", "read", func(m *sim, n *hollowNode, r *request) {
-			for range 4 {
-				send(m, n, r, 0)
-				r.attempts[len(r.attempts)-1].cancel()
+		{"attempts", read, func(f *fixture) {
+			for i := range 4 {
+				f.send(0)
+				f.request.attempts[i].cancel()
 			}
 		}, "3 are allowed"},
-		{"overlap", "read", func(m *sim, n *hollowNode, r *request) { send(m, n, r, 0); send(m, n, r, 1) }, "two attempts"},
-		{"unsafe", "order", func(m *sim, n *hollowNode, r *request) {
-			send(m, n, r, 0)
-			m.run(context.Background(), m.now+5*ms)
-			r.attempts[0].cancel()
-			send(m, n, r, 1)
-		}, "unsafe"},
-		{"scope", "save", func(m *sim, n *hollowNode, r *request) {
-			send(m, n, r, 0)
-			m.run(context.Background(), m.now+5*ms)
-			r.attempts[0].cancel()
-			send(m, n, r, 1)
-		}, "leaves its cell"},
-		{"window", "save", func(m *sim, n *hollowNode, r *request) {
-			send(m, n, r, 0)
-			m.run(context.Background(), m.now+5*ms)
-			r.attempts[0].cancel()
-			m.classes[1].KeyWindow = scenario.Duration(ms)
-			m.run(context.Background(), m.now+100*ms)
-			send(m, n, r, 0)
-			m.run(context.Background(), m.now+5*ms)
+		{"overlap", read, func(f *fixture) { f.send(0); f.send(1) }, "two attempts"},
+		{"unsafe", order, func(f *fixture) { f.sendAndCancel(); f.send(1) }, "unsafe"},
+		{"scope", save, func(f *fixture) { f.sendAndCancel(); f.send(1) }, "leaves its cell"},
+		{"window", save, func(f *fixture) {
+			f.sendAndCancel()
+			f.classes[save].KeyWindow = scenario.Duration(time.Millisecond)
+			f.advance(100 * time.Millisecond)
+			f.send(0)
+			f.advance(5 * time.Millisecond)
 		}, "its key is known for"},
-		{"refusal", "order", func(m *sim, n *hollowNode, r *request) {
-			send(m, n, r, 0)
-			n.apply(balancer.Reject{ID: r.id})
+		{"rejection", order, func(f *fixture) {
+			f.send(0)
+			f.node.apply(balancer.Reject{ID: f.request.id})
 		}, "is refused"},
-		{"drain", "read", func(m *sim, n *hollowNode, r *request) {
-			m.setStatus(m.current[0], "draining")
-			for v := range m.versionTimes {
-				m.versionTimes[v] = 0 // long ago
-			}
-			for _, b := range n.pool.backends {
-				b.server = m.current[0]
-			}
-			send(m, n, r, 1)
-			m.run(context.Background(), m.now+5*ms)
-		}, "told as draining"},
-		{"late", "read", func(m *sim, n *hollowNode, r *request) {
-			r.clientDeadline = m.now - time.Second
-			n.apply(balancer.Fail{ID: r.id})
+		{"drain", read, (*fixture).sendToDrained, "told as draining"},
+		{"late", read, func(f *fixture) {
+			f.request.clientDeadline = f.now - time.Second
+			f.node.apply(balancer.Fail{ID: f.request.id})
 		}, "late"},
-		{"never", "read", func(m *sim, n *hollowNode, r *request) { r.answered = true }, "got no answer"},
-		{"cold", "read", func(m *sim, n *hollowNode, r *request) {
-			sv := m.current[0]
-			m.startServer(sv)
-			m.run(context.Background(), m.now+300*ms) // all are told
-			for range 200 {
-				sv.model.Connect(m.now)
-				m.lastWorkID++
-				sv.model.Arrive(m.now, nil, model.Work{ID: uint64(m.lastWorkID), Cost: m.meanCost})
-				m.checkColdLoad(sv, n)
-			}
-		}, "that were told"},
+		{"never", read, func(f *fixture) { f.request.answered = true }, "got no answer"},
+		{"cold", read, (*fixture).overloadCold, "that were told"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := load(t, "", "", "")
-			s.Traffic.Rate = 0.001 // none but the test's
-			m, err := newSim(s)
-			if err != nil {
-				t.Fatal(err)
-			}
-			ctx := context.Background()
-			m.run(ctx, m.trafficStart+2*time.Second)
-			n := m.nodes[0]
-			k := &m.classes[map[string]int{"read": 0, "save": 1, "order": 2}[c.class]]
-			cl := &client{sim: m, class: k, sentAt: m.now, deadline: m.now + time.Second, key: "k"}
-			cl.arrival.Tenant, cl.arrival.Work, cl.arrival.At = -1, time.Minute, 2*time.Second
-			m.openClients++
-			r := &request{id: "r", client: cl, class: k, arrived: m.now, clientDeadline: cl.deadline, deadline: cl.deadline}
-			n.requests[r.id] = r
-			c.deed(m, n, r)
-			m.run(ctx, m.now+2*time.Second)
-			got := strings.Join(m.result().Violations, "\n")
+			f := newFixture(t, c.class)
+			c.act(f)
+			f.advance(2 * time.Second)
+			got := strings.Join(f.result().Violations, "\n")
 			if !strings.Contains(got, c.want) {
-				t.Errorf("broken: %q, want %q", got, c.want)
+				t.Errorf("violations: %q, want %q", got, c.want)
 			}
-			m.stopArrivals()
 		})
 	}
 }
 
-// send has the node send to the i-th of its servers, as if the module had said so.
-func send(m *sim, n *hollowNode, r *request, i int) {
-	id, _ := n.endpoints.ID(m.current[i].Name)
-	n.apply(balancer.Send{ID: r.id, Endpoint: id})
-	m.run(context.Background(), m.now)
-}
-
 // BenchmarkSecond is a second of 45 nodes, 450 servers and 8,100 requests/s.
 func BenchmarkSecond(b *testing.B) {
 	s := load(b, "", "", "")
