--- a/internal/lab/emulator/registry_test.go
+++ b/internal/lab/emulator/registry_test.go
@@ -1,7 +1,6 @@
 package emulator
 
 import (
-	"bankshift/internal/lab/model"
 	"context"
 	"encoding/json"
 	"errors"
@@ -10,6 +9,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"bankshift/internal/lab/model"
 )
 
 // registryClient calls a registry as nodes do.
--- a/internal/lab/emulator/server_test.go
+++ b/internal/lab/emulator/server_test.go
@@ -1,7 +1,6 @@
 package emulator
 
 import (
-	"bankshift/internal/lab/model"
 	"errors"
 	"fmt"
 	"io"
@@ -12,6 +11,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"bankshift/internal/lab/model"
 )
 
 func TestResponses(t *testing.T) {
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -1,12 +1,13 @@
 package node
 
 import (
-	"bankshift/internal/sockets"
 	"cmp"
 	"context"
 	"net"
 	"sync"
 	"time"
+
+	"bankshift/internal/sockets"
 )
 
 // pastDeadline ends a read that is under way when it is set as a deadline.
--- a/internal/node/departure.go
+++ b/internal/node/departure.go
@@ -1,9 +1,10 @@
 package node
 
 import (
-	"bankshift/internal/sockets"
 	"context"
 	"time"
+
+	"bankshift/internal/sockets"
 )
 
 // A request after which more has been sent waits until that has been read ahead,
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -1,13 +1,14 @@
 package node
 
 import (
-	"bankshift/internal/sockets"
 	"context"
 	"errors"
 	"log/slog"
 	"net"
 	"syscall"
 	"time"
+
+	"bankshift/internal/sockets"
 )
 
 const (
