--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -17,8 +17,8 @@
 
 // Limits of a client's request.
 const (
-	maxHeadBytes     = 16 << 10 // bytes
-	maxBodyBytes     = 64 << 10 // bytes
+	maxHeadBytes     = 16 << 10
+	maxBodyBytes     = 64 << 10
 	maxIDLength      = 128      // bytes
 	maxClientTimeout = time.Hour
 	maxWorkHint      = 1e12 // µs
@@ -85,17 +85,17 @@
 	if err != nil {
 		return arrival, 0, err
 	}
-	arrival.Class = r.Header.Get("X-Class")
+	arrival.Class = r.Header.Get(headerClass)
 	if err := f.checkClass(arrival.Class, r); err != nil {
 		return arrival, 0, err
 	}
-	timeout, err = parseTimeout(r.Header.Get("X-Deadline"))
+	timeout, err = parseTimeout(r.Header.Get(headerTimeout))
 	if err != nil {
-		return arrival, 0, rejectionf(http.StatusBadRequest, "X-Deadline: %w", err)
+		return arrival, 0, rejectionf(http.StatusBadRequest, headerTimeout+": %w", err)
 	}
-	arrival.Tenant = r.Header.Get("X-Tenant")
-	arrival.IsRetry = r.Header.Get("X-Retry") == "1"
-	arrival.WorkHint, arrival.HasWorkHint = parseWorkHint(r.Header.Get("X-Cost-Hint"))
+	arrival.Tenant = r.Header.Get(headerTenant)
+	arrival.IsRetry = r.Header.Get(headerRetry) == isRetry
+	arrival.WorkHint, arrival.HasWorkHint = parseWorkHint(r.Header.Get(headerWorkHint))
 	arrival.Key = r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:]
 	return arrival, timeout, nil
 }
@@ -118,9 +118,9 @@
 }
 
 func parseRequestID(header http.Header) (balancer.RequestID, error) {
-	id := header.Get("X-Request-Id")
-	if id == "" || len(id) > maxIDLength || len(header.Values("X-Request-Id")) > 1 {
-		return "", rejectionf(http.StatusBadRequest, "want one X-Request-Id of at most %d bytes", maxIDLength)
+	id := header.Get(headerRequestID)
+	if id == "" || len(id) > maxIDLength || len(header.Values(headerRequestID)) > 1 {
+		return "", rejectionf(http.StatusBadRequest, "want one %s of at most %d bytes", headerRequestID, maxIDLength)
 	}
 	return balancer.RequestID(id), nil
 }
@@ -131,7 +131,7 @@
 func (f *frontend) checkClass(class string, r *http.Request) error {
 	idempotency, known := f.idempotency[class]
 	if !known {
-		return rejectionf(http.StatusBadRequest, "unknown X-Class %q", class)
+		return rejectionf(http.StatusBadRequest, "unknown %s %q", headerClass, class)
 	}
 	method := http.MethodPost
 	if idempotency == balancer.Idempotent {
@@ -140,11 +140,11 @@
 	if r.Method != method {
 		return rejectionf(http.StatusMethodNotAllowed, "class %s wants %s", class, method)
 	}
-	keys := r.Header.Values("Idempotency-Key")
+	keys := r.Header.Values(headerIdempotencyKey)
 	missing := idempotency == balancer.IdempotentByKey && (len(keys) != 1 || keys[0] == "")
 	unexpected := idempotency == balancer.NotIdempotent && len(keys) > 0
 	if missing || unexpected {
-		return rejectionf(http.StatusBadRequest, "class %s and Idempotency-Key do not agree", class)
+		return rejectionf(http.StatusBadRequest, "class %s and %s do not agree", class, headerIdempotencyKey)
 	}
 	return nil
 }
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -37,7 +37,7 @@
 		header.Set("Content-Type", "text/plain; charset=utf-8")
 	}
 	if resp.retryAfter > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(resp.retryAfter.Seconds(), 'f', 3, 64))
+		header.Set(headerRetryAfter, strconv.FormatFloat(resp.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	header.Set("Content-Length", strconv.Itoa(len(resp.body)))
 	w.WriteHeader(resp.status)
@@ -80,12 +80,12 @@
 // hopByHopHeaders concern one connection only and are not passed on.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
-	"Expect", "Content-Length", "X-Load", "X-Not-Run",
+	"Expect", "Content-Length", headerLoadReport, headerNotRun,
 }
 
 // protectedHeaders are passed on even if the Connection header names them:
 // without them an endpoint could not recognize a repetition.
-var protectedHeaders = []string{"X-Request-Id", "Idempotency-Key"}
+var protectedHeaders = []string{headerRequestID, headerIdempotencyKey}
 
 // endToEndHeaders returns a copy of the headers that are passed on.
 func endToEndHeaders(header http.Header) http.Header {
