--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -19,7 +19,7 @@
 const (
 	maxHeadBytes     = 16 << 10
 	maxBodyBytes     = 64 << 10
-	maxIDLength      = 128      // bytes
+	maxIDLength      = 128 // bytes
 	maxClientTimeout = time.Hour
 	maxWorkHint      = 1e12 // µs
 )
