--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -174,7 +174,7 @@
 	return s.listener.bytesIn.Load(), s.listener.bytesOut.Load()
 }
 
-// Start starts the process again, cold; see [model.Server.Start].
+// Start starts the process again, to warm up; see [model.Server.Start].
 func (s *Server) Start() { s.withModel(s.model.Start) }
 
 // Kill ends the process: connections are reset, new ones refused.
--- a/internal/lab/emulator/server_test.go
+++ b/internal/lab/emulator/server_test.go
@@ -62,7 +62,7 @@
 
 func TestKill(t *testing.T) {
 	checkGoroutineLeaks(t)
-	s := newServer(t, ServerConfig{ServerConfig: model.ServerConfig{ColdCapacity: 0.5, WarmupTime: time.Hour}})
+	s := newServer(t, ServerConfig{ServerConfig: model.ServerConfig{InitialCapacity: 0.5, WarmupTime: time.Hour}})
 	busy, idle := dial(t, s.Addr()), dial(t, s.Addr())
 	busy.send(t, "GET", "r1", "X-Lab-Work: 60000000")
 	idle.send(t, "GET", "r2", "X-Lab-Work: 0")
@@ -120,7 +120,7 @@
 
 func TestHangAndCrash(t *testing.T) {
 	checkGoroutineLeaks(t)
-	s := newServer(t, ServerConfig{DefaultWork: time.Millisecond, ServerConfig: model.ServerConfig{QueueLimit: 9, ColdCapacity: 0.5, WarmupTime: time.Hour,
+	s := newServer(t, ServerConfig{DefaultWork: time.Millisecond, ServerConfig: model.ServerConfig{QueueLimit: 9, InitialCapacity: 0.5, WarmupTime: time.Hour,
 		CrashFactor: 4, CrashWindow: time.Hour, CrashDowntime: quietPeriod, MeanCost: time.Hour}})
 	c := dial(t, s.Addr())
 	s.SetHung(true)
@@ -145,7 +145,7 @@
 	c = dial(t, s.Addr())
 	c.send(t, "GET", "r4")
 	c.wantStatus(t, 200)
-	if st := s.Stats(); st.Crashes != 1 || st.WorstColdLoad <= 1 {
+	if st := s.Stats(); st.Crashes != 1 || st.WorstWarmupLoad <= 1 {
 		t.Errorf("%+v", st)
 	}
 }
--- a/internal/lab/fleet/servers.go
+++ b/internal/lab/fleet/servers.go
@@ -84,7 +84,7 @@
 	m.publish(sv, func(e *model.Entry) { e.Status = status })
 }
 
-// startServer starts a server's process, cold, and publishes the start. A
+// startServer starts a server's process, which warms up, and publishes the start. A
 // server that has been replaced meanwhile stays away.
 func (m *run) startServer(sv *server) {
 	m.mu.Lock()
--- a/internal/lab/hollow/attempt.go
+++ b/internal/lab/hollow/attempt.go
@@ -117,7 +117,7 @@
 		return
 	}
 	modelConn, handshakeDelay, outcome := sv.model.Connect(m.now)
-	m.checkColdLoad(sv, n)
+	m.checkWarmupLoad(sv, n)
 	m.wakeServer(sv)
 	answeredAt := m.now + m.dialDelay(n.zone, sv.zone)
 	switch outcome {
@@ -198,7 +198,7 @@
 	outcome := model.Rejected
 	if c.model != nil {
 		outcome = sv.model.Arrive(m.now, c.model, work)
-		m.checkColdLoad(sv, a.node)
+		m.checkWarmupLoad(sv, a.node)
 	}
 	switch outcome {
 	case model.Accepted:
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -267,8 +267,8 @@
 	f.advance(5 * time.Millisecond)
 }
 
-// overloadCold makes a cold server crash when all nodes know of its start.
-func (f *fixture) overloadCold() {
+// overloadWarmingUp makes a server that warms up crash when all nodes know of its start.
+func (f *fixture) overloadWarmingUp() {
 	sv := f.current[0]
 	f.startServer(sv)
 	f.advance(300 * time.Millisecond)
@@ -276,7 +276,7 @@
 		sv.model.Connect(f.now)
 		f.lastWorkID++
 		sv.model.Arrive(f.now, nil, model.Work{ID: f.lastWorkID, Cost: f.scenario.MeanWork()})
-		f.checkColdLoad(sv, f.node)
+		f.checkWarmupLoad(sv, f.node)
 	}
 }
 
@@ -315,7 +315,7 @@
 			f.node.apply(balancer.Fail{ID: f.request.id})
 		}, "late"},
 		{"never", read, func(f *fixture) { f.request.answered = true }, "got no answer"},
-		{"cold", read, (*fixture).overloadCold, "that were told"},
+		{"cold", read, (*fixture).overloadWarmingUp, "that were told"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t, c.class)
--- a/internal/lab/hollow/measure.go
+++ b/internal/lab/hollow/measure.go
@@ -27,7 +27,7 @@
 	snapshots int
 	listBytes int
 
-	coldLoad float64 // worst load of a cold server so far, as a fraction of what it survives
+	warmupLoad float64 // worst load of a server that warms up so far, as a fraction of what it survives
 }
 
 // measurement is what a run keeps for its result.
@@ -285,6 +285,6 @@
 		{"list_calls", float64(s.polls), 0},
 		{"list_bytes", float64(s.listBytes), nodeListBytesPerSecond * float64(nodes)},
 		{"whole_lists", float64(s.snapshots), 0},
-		{"cold_push", s.coldLoad, 1},
+		{"cold_push", s.warmupLoad, 1},
 	}
 }
--- a/internal/lab/hollow/rules.go
+++ b/internal/lab/hollow/rules.go
@@ -12,7 +12,7 @@
 	socketSlack   = 50 * time.Millisecond // of times that pass through sockets
 	responseSlack = 70 * time.Millisecond // of an answer past its deadline: 20 ms of the settings, and socketSlack
 
-	// notifiedFraction of what crashed a cold server, from nodes notified of
+	// notifiedFraction of what crashed a server that warms up, from nodes notified of
 	// its start, is a violation.
 	notifiedFraction = 2.0 / 3
 )
@@ -107,16 +107,16 @@
 	}
 }
 
-// checkColdLoad records a message that reaches a server, and checks who caused
+// checkWarmupLoad records a message that reaches a server, and checks who caused
 // it if the server crashed under it.
-func (m *sim) checkColdLoad(sv *server, n *hollowNode) {
+func (m *sim) checkWarmupLoad(sv *server, n *hollowNode) {
 	if sv.startVersion == 0 || m.now >= sv.startedAt+m.scenario.Servers.WarmupTime.Std() {
 		return
 	}
-	m.recordColdSend(sv, n)
+	m.recordWarmupSend(sv, n)
 	stats := sv.model.Stats()
 	second := m.currentSecond()
-	second.coldLoad = max(second.coldLoad, stats.WorstColdLoad)
+	second.warmupLoad = max(second.warmupLoad, stats.WorstWarmupLoad)
 	if stats.Crashes == sv.crashes {
 		return
 	}
@@ -125,23 +125,23 @@
 		m.report.Crashes++
 	}
 	notified := 0
-	for _, s := range sv.coldSends {
+	for _, s := range sv.warmupSends {
 		if s.notified {
 			notified++
 		}
 	}
-	if float64(notified) >= notifiedFraction*float64(len(sv.coldSends)) {
+	if float64(notified) >= notifiedFraction*float64(len(sv.warmupSends)) {
 		m.violation("%s fell over %v after its start: %d of the last %d sends came from nodes that were told",
-			sv.Name, m.now-sv.startedAt, notified, len(sv.coldSends))
+			sv.Name, m.now-sv.startedAt, notified, len(sv.warmupSends))
 	}
 }
 
-// recordColdSend adds a message to those of the last CrashWindow.
-func (m *sim) recordColdSend(sv *server, n *hollowNode) {
+// recordWarmupSend adds a message to those of the last CrashWindow.
+func (m *sim) recordWarmupSend(sv *server, n *hollowNode) {
 	expired := 0
-	for expired < len(sv.coldSends) && sv.coldSends[expired].at <= m.now-m.scenario.Servers.CrashWindow.Std() {
+	for expired < len(sv.warmupSends) && sv.warmupSends[expired].at <= m.now-m.scenario.Servers.CrashWindow.Std() {
 		expired++
 	}
 	notified := m.now >= m.notifiedAt(n, sv.startVersion)
-	sv.coldSends = append(sv.coldSends[expired:], coldSend{m.now, notified})
+	sv.warmupSends = append(sv.warmupSends[expired:], warmupSend{m.now, notified})
 }
--- a/internal/lab/hollow/server.go
+++ b/internal/lab/hollow/server.go
@@ -25,11 +25,11 @@
 	startVersion uint64        // the version that lists its last start; 0: none
 	vanishedAt   time.Duration // when its machine vanished last; below 0: never
 	crashes      int
-	coldSends    []coldSend // within the last CrashWindow while it is cold
+	warmupSends  []warmupSend // within the last CrashWindow while it warms up
 }
 
-// coldSend is a message that reached a cold server.
-type coldSend struct {
+// warmupSend is a message that reached a server that warms up.
+type warmupSend struct {
 	at       time.Duration
 	notified bool // its node had been notified of the start
 }
@@ -84,7 +84,7 @@
 	}
 }
 
-// startServer starts a server's process, cold, and publishes the start. A
+// startServer starts a server's process, which warms up, and publishes the start. A
 // server that has been replaced meanwhile stays away.
 func (m *sim) startServer(sv *server) {
 	if sv.entry.Status == model.Removed {
@@ -102,7 +102,7 @@
 		return
 	}
 	sv.startedAt = at
-	sv.coldSends = nil
+	sv.warmupSends = nil
 	sv.entry.SinceMS = (epoch + at).Milliseconds()
 	m.setStatus(sv, cmp.Or(sv.entry.Status, model.Ready))
 	sv.startVersion = m.registry.Version()
--- a/internal/lab/model/doc.go
+++ b/internal/lab/model/doc.go
@@ -24,5 +24,5 @@
 // concurrent use.
 //
 // The rules come from the pages on the wire and on the protocol; the crash of
-// an overloaded cold server follows the page of the standing test.
+// a server overloaded while it warms up follows the page of the standing test.
 package model
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -17,17 +17,17 @@
 	Handshake      time.Duration // work of a new connection, on a core of speed 1
 	IdleTimeout    time.Duration // after which an idle connection is closed; 0: never
 
-	// A server starts with the fraction ColdCapacity of its capacity, which
-	// grows linearly to all of it within WarmupTime. While cold it crashes once
+	// A server starts with the fraction InitialCapacity of its capacity, which
+	// grows linearly to all of it within WarmupTime. While it warms up, it crashes once
 	// more than N + 2 sqrt(N) + 2 requests of MeanCost reach it within
 	// CrashWindow, where N is CrashFactor times what it could execute then in
 	// CrashWindow.
-	ColdCapacity  float64
-	WarmupTime    time.Duration // 0: always warm
-	CrashFactor   float64       // 0: never crashes
-	CrashWindow   time.Duration
-	CrashDowntime time.Duration // until it starts again
-	MeanCost      time.Duration // mean work of a request, on a core of speed 1; 0: never crashes
+	InitialCapacity float64
+	WarmupTime      time.Duration // 0: always warm
+	CrashFactor     float64       // 0: never crashes
+	CrashWindow     time.Duration
+	CrashDowntime   time.Duration // until it starts again
+	MeanCost        time.Duration // mean work of a request, on a core of speed 1; 0: never crashes
 
 	FailureRate float64                  // fraction of all executions that end Failed
 	KeyStores   [ScopeCell + 1]*KeyStore // by Scope; nil: keys of that scope are not remembered
@@ -51,9 +51,9 @@
 	Wasted time.Duration // of Work: executions that failed, broke off, or whose client closed before they ended
 	Busy   time.Duration // core time with work assigned, hangs included
 
-	Starts        int     // cold ones
-	Crashes       int     // while cold, by overload
-	WorstColdLoad float64 // most that reached it within CrashWindow while cold, as a fraction of what it survives; over 1: it crashed
+	Starts          int     // of its process
+	Crashes         int     // while it warms up, by overload
+	WorstWarmupLoad float64 // most that reached it within CrashWindow while it warms up, as a fraction of what it survives; over 1: it crashed
 
 	Handshakes          int
 	RejectedConnections int // over the limit
@@ -87,8 +87,8 @@
 
 	// Process
 	incarnation int           // connections of earlier ones are broken
-	started     time.Duration // the last cold start
-	cold        bool          // may be false later than the warm-up ends, never earlier
+	started     time.Duration // the last start
+	warmingUp   bool          // may be false later than the warm-up ends, never earlier
 	crashed     bool          // down until recoverAt
 	recoverAt   time.Duration
 	hung        bool
@@ -105,10 +105,10 @@
 	replies   []Reply
 	idleConns list.List // of *Conn, the one idle longest first
 
-	// Requests that reached it while cold within the last CrashWindow
-	coldLoad     []loadSample // from coldLoadHead on
-	coldLoadHead int
-	coldLoadSum  time.Duration
+	// Requests that reached it while it warms up within the last CrashWindow
+	warmupLoad     []loadSample // from warmupLoadHead on
+	warmupLoadHead int
+	warmupLoadSum  time.Duration
 }
 
 // NewServer returns a warm server. rng is used only where some executions
@@ -137,7 +137,7 @@
 // Lost reports whether the machine has vanished.
 func (s *Server) Lost() bool { return s.state == lost }
 
-// Started is the time of the last cold start, and whether there was one.
+// Started is the time of the last start, and whether there was one.
 func (s *Server) Started() (time.Duration, bool) { return s.started, s.stats.Starts > 0 }
 
 // Next is the time of the next event that happens by itself, and whether there
@@ -213,8 +213,8 @@
 		}
 	}
 	s.now = to
-	if s.cold && to >= s.started+s.cfg.WarmupTime {
-		s.cold = false
-		s.clearColdLoad()
+	if s.warmingUp && to >= s.started+s.cfg.WarmupTime {
+		s.warmingUp = false
+		s.clearWarmupLoad()
 	}
 }
--- a/internal/lab/model/server_test.go
+++ b/internal/lab/model/server_test.go
@@ -109,7 +109,7 @@
 }
 
 func TestWarmup(t *testing.T) {
-	cfg := ServerConfig{ColdCapacity: 0.2, WarmupTime: 10 * time.Second}
+	cfg := ServerConfig{InitialCapacity: 0.2, WarmupTime: 10 * time.Second}
 	// The capacity's integral is 0.2 t + 0.04 t², and 6 s when warm.
 	for _, c := range []struct{ work, takes float64 }{{2, 5}, {6, 10}, {7, 11}} {
 		s := NewServer(cfg, nil)
@@ -132,7 +132,7 @@
 
 func TestCrashThreshold(t *testing.T) {
 	// N is 4 x 0.5 x 2 cores x 1 s / 10 ms = 400 at the start: it survives 442 requests.
-	cfg := ServerConfig{Cores: 2, QueueLimit: 10, ColdCapacity: 0.5, WarmupTime: 100 * time.Second, CrashFactor: 4,
+	cfg := ServerConfig{Cores: 2, QueueLimit: 10, InitialCapacity: 0.5, WarmupTime: 100 * time.Second, CrashFactor: 4,
 		CrashWindow: time.Second, CrashDowntime: 5 * time.Second, MeanCost: 10 * time.Millisecond}
 	w := Work{Cost: 10 * time.Millisecond}
 	s := NewServer(cfg, nil)
@@ -144,7 +144,7 @@
 	for range 442 {
 		s.Arrive(time.Minute, nil, w) // rejected ones count too
 	}
-	if st := s.Stats(); st.Crashes != 0 || st.WorstColdLoad != 1 || s.Arrive(time.Minute, nil, w) != ConnectionReset || s.Stats().Crashes != 1 {
+	if st := s.Stats(); st.Crashes != 0 || st.WorstWarmupLoad != 1 || s.Arrive(time.Minute, nil, w) != ConnectionReset || s.Stats().Crashes != 1 {
 		t.Fatalf("%+v at the edge, %+v over it", st, s.Stats())
 	}
 	if replies := s.Advance(time.Minute); len(replies) != 12 || replies[0].Outcome != ConnectionReset {
@@ -157,7 +157,7 @@
 	if next, ok := s.Next(); !ok || next != restart {
 		t.Errorf("restarts at %v", next)
 	}
-	// Back, it is cold, and what reached it before the window no longer counts.
+	// Back, it warms up, and what reached it before the window no longer counts.
 	for i := range 442 {
 		s.Arrive(restart+time.Duration(i), nil, w)
 	}
@@ -307,7 +307,7 @@
 func TestServerIsDeterministic(t *testing.T) {
 	play := func() (ServerStats, []float64) {
 		r := rand.NewPCG(3, 4)
-		s := NewServer(ServerConfig{Cores: 3, QueueLimit: 4, FailureRate: 0.1, ColdCapacity: 0.1, WarmupTime: 20 * time.Second,
+		s := NewServer(ServerConfig{Cores: 3, QueueLimit: 4, FailureRate: 0.1, InitialCapacity: 0.1, WarmupTime: 20 * time.Second,
 			CrashFactor: 3, CrashWindow: time.Second, CrashDowntime: time.Second, MeanCost: 10 * time.Millisecond}, rand.New(r))
 		s.Start(0)
 		waits, _ := queueing(s, 280, distuv.Exponential{Rate: 100, Src: r}, 20_000, r)
--- a/internal/lab/model/servercapacity.go
+++ b/internal/lab/model/servercapacity.go
@@ -8,16 +8,16 @@
 // Capacity is the fraction of its capacity that a server has, 1 when warm. It
 // does not say whether the server is up, slow or hung.
 func (s *Server) Capacity(now time.Duration) float64 {
-	if !s.cold || now >= s.started+s.cfg.WarmupTime {
+	if !s.warmingUp || now >= s.started+s.cfg.WarmupTime {
 		return 1
 	}
-	return s.cfg.ColdCapacity + (1-s.cfg.ColdCapacity)*float64(now-s.started)/float64(s.cfg.WarmupTime)
+	return s.cfg.InitialCapacity + (1-s.cfg.InitialCapacity)*float64(now-s.started)/float64(s.cfg.WarmupTime)
 }
 
 // capacitySeconds is the integral of Capacity from now to a time.
 func (s *Server) capacitySeconds(to time.Duration) float64 {
 	warm := s.started + s.cfg.WarmupTime
-	if !s.cold || s.now >= warm {
+	if !s.warmingUp || s.now >= warm {
 		return (to - s.now).Seconds()
 	}
 	mid := min(to, warm)
@@ -30,7 +30,7 @@
 func (s *Server) timeOfProgress(progress float64) time.Duration {
 	need := max(0, progress-s.progress) * s.slowdown / s.cfg.Speed // seconds at full capacity
 	warm := s.started + s.cfg.WarmupTime
-	if !s.cold || s.now >= warm {
+	if !s.warmingUp || s.now >= warm {
 		return s.now + ceilNanoseconds(need)
 	}
 	left := (warm - s.now).Seconds()
@@ -49,23 +49,23 @@
 // the rounding errors of sums.
 func ceilNanoseconds(s float64) time.Duration { return time.Duration(math.Ceil(s*1e9 - 1e-3)) }
 
-// loadSample is work that reached a cold server.
+// loadSample is work that reached a server that warms up.
 type loadSample struct {
 	at   time.Duration
 	cost time.Duration
 }
 
-// recordColdLoad counts work that reaches the server. It returns true if the
+// recordWarmupLoad counts work that reaches the server. It returns true if the
 // server crashes under it.
-func (s *Server) recordColdLoad(cost time.Duration) bool {
+func (s *Server) recordWarmupLoad(cost time.Duration) bool {
 	if s.cfg.CrashFactor <= 0 || s.cfg.MeanCost <= 0 || s.Capacity(s.now) >= 1 {
 		return false
 	}
-	s.expireColdLoad()
-	s.coldLoad = append(s.coldLoad, loadSample{s.now, cost})
-	s.coldLoadSum += cost
-	load := float64(s.coldLoadSum) / float64(s.cfg.MeanCost) / s.crashThreshold()
-	s.stats.WorstColdLoad = max(s.stats.WorstColdLoad, load)
+	s.expireWarmupLoad()
+	s.warmupLoad = append(s.warmupLoad, loadSample{s.now, cost})
+	s.warmupLoadSum += cost
+	load := float64(s.warmupLoadSum) / float64(s.cfg.MeanCost) / s.crashThreshold()
+	s.stats.WorstWarmupLoad = max(s.stats.WorstWarmupLoad, load)
 	if load <= 1 {
 		return false
 	}
@@ -76,25 +76,25 @@
 	return true
 }
 
-// expireColdLoad forgets the samples before the last CrashWindow.
-func (s *Server) expireColdLoad() {
-	for s.coldLoadHead < len(s.coldLoad) && s.coldLoad[s.coldLoadHead].at <= s.now-s.cfg.CrashWindow {
-		s.coldLoadSum -= s.coldLoad[s.coldLoadHead].cost
-		s.coldLoadHead++
+// expireWarmupLoad forgets the samples before the last CrashWindow.
+func (s *Server) expireWarmupLoad() {
+	for s.warmupLoadHead < len(s.warmupLoad) && s.warmupLoad[s.warmupLoadHead].at <= s.now-s.cfg.CrashWindow {
+		s.warmupLoadSum -= s.warmupLoad[s.warmupLoadHead].cost
+		s.warmupLoadHead++
 	}
-	if s.coldLoadHead > len(s.coldLoad)/2 {
-		s.coldLoad = append(s.coldLoad[:0], s.coldLoad[s.coldLoadHead:]...)
-		s.coldLoadHead = 0
+	if s.warmupLoadHead > len(s.warmupLoad)/2 {
+		s.warmupLoad = append(s.warmupLoad[:0], s.warmupLoad[s.warmupLoadHead:]...)
+		s.warmupLoadHead = 0
 	}
 }
 
-func (s *Server) clearColdLoad() {
-	s.coldLoad = nil
-	s.coldLoadHead = 0
-	s.coldLoadSum = 0
+func (s *Server) clearWarmupLoad() {
+	s.warmupLoad = nil
+	s.warmupLoadHead = 0
+	s.warmupLoadSum = 0
 }
 
-// crashThreshold is how many requests of mean work a cold server survives
+// crashThreshold is how many requests of mean work a server that warms up survives
 // within CrashWindow.
 func (s *Server) crashThreshold() float64 {
 	n := s.cfg.CrashFactor * s.Capacity(s.now) * s.cfg.Speed * float64(s.cfg.Cores) * float64(s.cfg.CrashWindow) / float64(s.cfg.MeanCost)
--- a/internal/lab/model/serverconn.go
+++ b/internal/lab/model/serverconn.go
@@ -41,7 +41,7 @@
 		s.stats.RejectedConnections++
 		return nil, 0, Rejected
 	}
-	if s.recordColdLoad(s.cfg.Handshake) {
+	if s.recordWarmupLoad(s.cfg.Handshake) {
 		return nil, 0, ConnectionRefused
 	}
 	c := &Conn{server: s, incarnation: s.incarnation}
@@ -59,7 +59,7 @@
 	s.stats.Handshakes++
 	s.queue = append(s.queue, &job{Work: Work{Cost: s.cfg.Handshake}, handshake: true})
 	s.startJobs()
-	delay := s.cfg.Handshake.Seconds() * s.slowdown / s.cfg.Speed / max(s.Capacity(s.now), s.cfg.ColdCapacity, minHandshakeCapacity)
+	delay := s.cfg.Handshake.Seconds() * s.slowdown / s.cfg.Speed / max(s.Capacity(s.now), s.cfg.InitialCapacity, minHandshakeCapacity)
 	return ceilNanoseconds(delay)
 }
 
--- a/internal/lab/model/serverfaults.go
+++ b/internal/lab/model/serverfaults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Start starts the process again, cold, neither hung nor draining. A process
+// Start starts the process again, to warm up, neither hung nor draining. A process
 // that exists is killed first.
 func (s *Server) Start(now time.Duration) {
 	s.advanceTo(now)
@@ -66,7 +66,7 @@
 }
 
 // SetSlowdown makes the server slower by a factor; 1 is its normal speed. The
-// load that a cold server survives does not change.
+// load that a server that warms up survives does not change.
 func (s *Server) SetSlowdown(now time.Duration, factor float64) {
 	s.advanceTo(now)
 	if factor > 0 {
@@ -115,7 +115,7 @@
 	s.queue = nil
 	s.queueHead = 0
 	s.waiting = 0
-	s.clearColdLoad()
+	s.clearWarmupLoad()
 	s.idleConns.Init()
 	s.stats.Connections = 0
 	s.incarnation++
@@ -123,12 +123,12 @@
 	s.crashed = false
 }
 
-// startProcess starts a process, cold.
+// startProcess starts a process, which warms up.
 func (s *Server) startProcess() {
 	s.state = up
 	s.crashed = false
 	s.started = s.now
-	s.cold = s.cfg.WarmupTime > 0
+	s.warmingUp = s.cfg.WarmupTime > 0
 	s.hung = false
 	s.draining = false
 	s.stats.Starts++
--- a/internal/lab/model/serverjobs.go
+++ b/internal/lab/model/serverjobs.go
@@ -35,7 +35,7 @@
 	case s.state == down:
 		return ConnectionRefused
 	}
-	if s.recordColdLoad(w.Cost) {
+	if s.recordWarmupLoad(w.Cost) {
 		s.stats.Broken++
 		return ConnectionReset
 	}
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -35,7 +35,7 @@
 	Added      Latency            `json:"added"`   // by nodes to served requests: latency less network and server
 	Control    Control            `json:"control"`
 	Peaks      map[string]Peak    `json:"sums"`       // sums over the fleet in their worst seconds
-	Crashes    int                `json:"falls"`      // of cold servers
+	Crashes    int                `json:"falls"`      // of servers that warm up
 	Recovery   float64            `json:"recovery_s"` // seconds, see FindRecovery; -1: not within the run
 	Windows    []Window           `json:"windows"`    // second by second, warm-up included
 	Events     []string           `json:"events"`     // with their times
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -55,19 +55,19 @@
 
 func defaultServers() Servers {
 	return Servers{
-		Count:          12,
-		Services:       1,
-		CellSize:       4,
-		QueueLimit:     64,
-		MaxConnections: 1024,
-		Handshake:      millisecond,
-		IdleTimeout:    60 * second,
-		ColdCapacity:   0.12,
-		WarmupTime:     23 * second,
-		CrashFactor:    4,
-		CrashWindow:    second,
-		CrashDowntime:  10 * second,
-		Deduplicate:    true,
+		Count:           12,
+		Services:        1,
+		CellSize:        4,
+		QueueLimit:      64,
+		MaxConnections:  1024,
+		Handshake:       millisecond,
+		IdleTimeout:     60 * second,
+		InitialCapacity: 0.12,
+		WarmupTime:      23 * second,
+		CrashFactor:     4,
+		CrashWindow:     second,
+		CrashDowntime:   10 * second,
+		Deduplicate:     true,
 	}
 }
 
--- a/internal/lab/scenario/event.go
+++ b/internal/lab/scenario/event.go
@@ -30,13 +30,13 @@
 // once. A server that is only listed as draining still serves. Where an event
 // ends, it ends for the servers that it began with, not for their successors.
 const (
-	RestartServers  Action = "restart-servers"  // are killed, start again cold after Duration
-	ReplaceServers  Action = "replace-servers"  // are drained, removed after twice the drain grace; successors with new names start cold
+	RestartServers  Action = "restart-servers"  // are killed, start again after Duration
+	ReplaceServers  Action = "replace-servers"  // are drained, removed after twice the drain grace; successors with new names warm up
 	DrainServers    Action = "drain-servers"    // are listed as draining for Duration, then as ready
 	HangServers     Action = "hang-servers"     // accept requests and answer none for Duration
 	SlowServers     Action = "slow-servers"     // are slower by Factor for Duration
 	FailServers     Action = "fail-servers"     // answer 500 for Duration
-	LoseServers     Action = "lose-servers"     // vanish from the network for Duration, then start again cold
+	LoseServers     Action = "lose-servers"     // vanish from the network for Duration, then start again
 	Cut             Action = "cut"              // nodes and servers of Zone or Region reach only each other for Duration, discovery included
 	KillNodes       Action = "kill-nodes"       // at once; they start again after Fleet.RestartTime
 	RestartNodes    Action = "restart-nodes"    // shut down in order, then as KillNodes
--- a/internal/lab/scenario/nodeconfig.go
+++ b/internal/lab/scenario/nodeconfig.go
@@ -231,7 +231,7 @@
 	return invariantsConfig{
 		AnswerSlack:    responseSlack,
 		AskWithin:      s.Discovery.PollInterval.Std(),
-		ColdFrom:       s.Servers.ColdCapacity,
+		ColdFrom:       s.Servers.InitialCapacity,
 		Cold:           s.Servers.WarmupTime.Std(),
 		DrainGrace:     s.Discovery.DrainGrace.Std(),
 		OverloadFactor: s.Servers.CrashFactor,
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -62,21 +62,21 @@
 // Servers describes the backends. They are spread over the zones in turn, and
 // the machine types over each zone.
 type Servers struct {
-	Count          int           `toml:"count"`
-	Services       int           `toml:"services"` // over which they are spread; present nodes know one
-	CellSize       int           `toml:"cell_size"`
-	MachineTypes   []MachineType `toml:"kind"`         // default: one
-	QueueLimit     int           `toml:"queue"`        // requests that may wait at one
-	MaxConnections int           `toml:"connections"`  // of one
-	Handshake      Duration      `toml:"handshake"`    // work of a new connection
-	IdleTimeout    Duration      `toml:"idle_close"`   // of connections
-	ColdCapacity   float64       `toml:"cold_from"`    // fraction of the capacity at the start
-	WarmupTime     Duration      `toml:"cold_time"`    // until the capacity is complete
-	CrashFactor    float64       `toml:"fall_factor"`  // a cold server crashes under more load than this multiple
-	CrashWindow    Duration      `toml:"fall_time"`    // of its capacity for this long,
-	CrashDowntime  Duration      `toml:"fall_rest"`    // and stays down for this long
-	Deduplicate    bool          `toml:"dedup"`        // idempotency keys are remembered within their scope
-	FailureRate    float64       `toml:"failing_part"` // fraction of all responses that are 500
+	Count           int           `toml:"count"`
+	Services        int           `toml:"services"` // over which they are spread; present nodes know one
+	CellSize        int           `toml:"cell_size"`
+	MachineTypes    []MachineType `toml:"kind"`         // default: one
+	QueueLimit      int           `toml:"queue"`        // requests that may wait at one
+	MaxConnections  int           `toml:"connections"`  // of one
+	Handshake       Duration      `toml:"handshake"`    // work of a new connection
+	IdleTimeout     Duration      `toml:"idle_close"`   // of connections
+	InitialCapacity float64       `toml:"cold_from"`    // fraction of the capacity at the start
+	WarmupTime      Duration      `toml:"cold_time"`    // until the capacity is complete
+	CrashFactor     float64       `toml:"fall_factor"`  // a server that warms up crashes under more load than this multiple
+	CrashWindow     Duration      `toml:"fall_time"`    // of its capacity for this long,
+	CrashDowntime   Duration      `toml:"fall_rest"`    // and stays down for this long
+	Deduplicate     bool          `toml:"dedup"`        // idempotency keys are remembered within their scope
+	FailureRate     float64       `toml:"failing_part"` // fraction of all responses that are 500
 }
 
 // MachineType is a type of server machine.
@@ -159,5 +159,5 @@
 	ListRate      float64  `toml:"list_bytes"`       // list traffic in bytes/s, mean node
 	WorstListRate float64  `toml:"worst_list_bytes"` // list traffic in bytes/s, worst node
 	Recovery      Duration `toml:"recovery"`         // from the last event's end to nine tenths of the weight served before
-	Crashes       *int     `toml:"falls"`            // of cold servers
+	Crashes       *int     `toml:"falls"`            // of servers that warm up
 }
--- a/internal/lab/setup/setup.go
+++ b/internal/lab/setup/setup.go
@@ -33,19 +33,19 @@
 func ServerConfig(s *scenario.Scenario, server scenario.Server, stores *KeyStores) model.ServerConfig {
 	c := s.Servers
 	config := model.ServerConfig{
-		Cores:          server.MachineType.Cores,
-		Speed:          server.MachineType.Speed,
-		QueueLimit:     c.QueueLimit,
-		MaxConnections: c.MaxConnections,
-		Handshake:      c.Handshake.Std(),
-		IdleTimeout:    c.IdleTimeout.Std(),
-		ColdCapacity:   c.ColdCapacity,
-		WarmupTime:     c.WarmupTime.Std(),
-		CrashFactor:    c.CrashFactor,
-		CrashWindow:    c.CrashWindow.Std(),
-		CrashDowntime:  c.CrashDowntime.Std(),
-		MeanCost:       s.MeanWork(),
-		FailureRate:    c.FailureRate,
+		Cores:           server.MachineType.Cores,
+		Speed:           server.MachineType.Speed,
+		QueueLimit:      c.QueueLimit,
+		MaxConnections:  c.MaxConnections,
+		Handshake:       c.Handshake.Std(),
+		IdleTimeout:     c.IdleTimeout.Std(),
+		InitialCapacity: c.InitialCapacity,
+		WarmupTime:      c.WarmupTime.Std(),
+		CrashFactor:     c.CrashFactor,
+		CrashWindow:     c.CrashWindow.Std(),
+		CrashDowntime:   c.CrashDowntime.Std(),
+		MeanCost:        s.MeanWork(),
+		FailureRate:     c.FailureRate,
 	}
 	if c.Deduplicate {
 		config.KeyStores = stores.of(server)
