--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -34,8 +34,8 @@
 				pooled[name] = address
 			}
 		}
-		if n.directory.Len() != len(want) || len(pooled) != len(want) {
-			t.Errorf("%s: %d listed, %d in the pool, want %d", when, n.directory.Len(), len(pooled), len(want))
+		if n.directory.Len() != len(want) || n.pool.Len() != len(want) || len(pooled) != len(want) {
+			t.Errorf("%s: %d listed, %d in the pool, %d of them named, want %d", when, n.directory.Len(), n.pool.Len(), len(pooled), len(want))
 		}
 		for name, address := range want {
 			if _, listed := n.directory.ID(name); !listed || pooled[name] != address {
@@ -300,8 +300,8 @@
 		case "draining":
 			wantDraining = endpoints
 		}
-		if pooled != wantListed || n.directory.Len() != wantListed || draining != wantDraining {
-			t.Errorf("%v: %d in the pool, %d draining; want %d and %d", states, pooled, draining, wantListed, wantDraining)
+		if pooled != wantListed || n.pool.Len() != wantListed || n.directory.Len() != wantListed || draining != wantDraining {
+			t.Errorf("%v: %d in the pool, %d of them listed, %d draining; want %d and %d", states, n.pool.Len(), pooled, draining, wantListed, wantDraining)
 		}
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -134,6 +134,13 @@
 	}
 }
 
+// Len returns the number of endpoints that are set, draining ones included.
+func (p *Pool) Len() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.backends)
+}
+
 // CloseIdle closes the idle connections to an endpoint.
 func (p *Pool) CloseIdle(id balancer.EndpointID) {
 	p.mu.Lock()
