--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -9,6 +9,7 @@
 	"bankshift/internal/lab/load"
 	"bankshift/internal/lab/result"
 	"bankshift/internal/lab/scenario"
+	"bankshift/internal/lab/setup"
 )
 
 // listBytesPerSecond is what a node may use for its list, by the operators'
@@ -145,55 +146,30 @@
 	defer x.mu.Unlock()
 	record := &x.requests[i]
 	record.tries = outcome.Tries
-	weight := x.run.scenario.Classes[record.class].PriorityWeight
-	w := x.windowOf(r)
-	q := &x.result.Requests
-	if !x.measured(r) {
-		q = new(result.Requests)
-	}
-	w.Offered++
-	w.Weight += weight
-	q.Offered++
-	q.Weight += weight
-	q.Tries += outcome.Tries
-	if record.withinQuota {
-		q.WithinQuota++
-	}
+	class := x.run.scenario.Classes[record.class]
+	tally := setup.NewTally(x.windowOf(r), &x.result.Requests, x.measured(r))
+	tally.CountOffered(class, record.withinQuota)
+	tally.Requests.Tries += outcome.Tries
 	switch outcome.Outcome {
 	case load.Served:
-		x.recordServed(r, record, outcome, w, q)
+		tally.CountServed(class, outcome.Latency, record.withinQuota)
+		x.recordLatency(r, class.Name, outcome)
 	case load.Rejected:
-		w.Rejected++
-		q.Rejected++
+		tally.CountRejected()
 	case load.Lost:
-		w.Failed++
-		q.Lost++
+		tally.CountLost()
 	default:
-		w.Failed++
-		q.Failed++
+		tally.CountFailed()
 	}
 }
 
-func (x *measurement) recordServed(r *load.Request, record *requestRecord, outcome load.Result, w *result.Window, q *result.Requests) {
-	class := x.run.scenario.Classes[record.class]
-	weight := class.PriorityWeight
-	if outcome.Latency <= class.LatencyObjective.Std() {
-		q.WithinObjective++
-	} else {
-		weight *= class.LateWeight
-	}
-	w.Served++
-	q.Served++
-	w.ServedWeight += weight
-	q.ServedWeight += weight
-	if record.withinQuota {
-		q.WithinQuotaServed++
-	}
+// recordLatency adds a served request to the latencies.
+func (x *measurement) recordLatency(r *load.Request, class string, outcome load.Result) {
 	if !x.measured(r) {
 		return
 	}
 	x.latency["all"].Add(outcome.Latency)
-	x.latency[class.Name].Add(outcome.Latency)
+	x.latency[class].Add(outcome.Latency)
 	if outcome.Added >= 0 {
 		x.added.Add(outcome.Added)
 	}
--- a/internal/lab/hollow/measure.go
+++ b/internal/lab/hollow/measure.go
@@ -103,61 +103,33 @@
 	return &m.windows[int(c.arrival.At/time.Second)]
 }
 
+// tally is where a client's request counts.
+func (m *sim) tally(c *client) setup.Tally {
+	return setup.NewTally(m.windowOf(c), &m.report.Requests, c.measured)
+}
+
 // recordOffered counts a request when it is to be sent.
 func (m *sim) recordOffered(c *client) {
-	w := m.windowOf(c)
-	w.Offered++
-	w.Weight += c.class.PriorityWeight
 	if tenant := c.arrival.Tenant; tenant >= 0 {
 		c.withinQuota = m.quotas.Take(tenant, m.now)
 	}
-	if !c.measured {
-		return
-	}
-	q := &m.report.Requests
-	q.Offered++
-	q.Weight += c.class.PriorityWeight
-	if c.withinQuota {
-		q.WithinQuota++
-	}
+	m.tally(c).CountOffered(c.class.Class, c.withinQuota)
 }
 
 // recordFinal counts how a request ended.
 func (m *sim) recordFinal(c *client, outcome tryOutcome) {
-	w := m.windowOf(c)
-	q := &m.report.Requests
-	if !c.measured {
-		q = new(result.Requests)
-	}
+	tally := m.tally(c)
 	switch outcome {
 	case tryServed:
-		m.recordServed(c, w, q)
+		latency := m.now - c.sentAt
+		tally.CountServed(c.class.Class, latency, c.withinQuota)
+		if c.measured {
+			m.latency[c.arrival.Class].Add(latency)
+		}
 	case tryRejected:
-		w.Rejected++
-		q.Rejected++
+		tally.CountRejected()
 	default:
-		w.Failed++
-		q.Failed++
-	}
-}
-
-func (m *sim) recordServed(c *client, w *result.Window, q *result.Requests) {
-	weight := c.class.PriorityWeight
-	latency := m.now - c.sentAt
-	if latency <= c.class.LatencyObjective.Std() {
-		q.WithinObjective++
-	} else {
-		weight *= c.class.LateWeight
-	}
-	w.Served++
-	q.Served++
-	w.ServedWeight += weight
-	q.ServedWeight += weight
-	if c.withinQuota {
-		q.WithinQuotaServed++
-	}
-	if c.measured {
-		m.latency[c.arrival.Class].Add(latency)
+		tally.CountFailed()
 	}
 }
 
