--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -48,10 +48,10 @@
 }
 
 // interrupt fails the reads and writes of c that are under way, and those to come.
-func (c *conn) interrupt() { c.SetDeadline(longAgo) }
+func (c *conn) interrupt() { c.SetDeadline(pastDeadline) }
 
-// longAgo is a deadline that has passed.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that has passed.
+var pastDeadline = time.Unix(1, 0)
 
 // release puts c back into the pool. The caller has read the last response to
 // its end, or sent nothing.
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// hedgePart is the part of ConnectTimeout after which a second connection is
+	// hedgeDelayFraction is the part of ConnectTimeout after which a second connection is
 	// dialled beside one that is not up yet. Most come up within a few round
 	// trips, and what delays one, a lost packet or a full backlog, seldom delays
 	// the next.
-	hedgePart = 0.25
+	hedgeDelayFraction = 0.25
 
-	// minDialTime is how long a dial may take at least, even if its attempt no
+	// minDialTimeout is how long a dial may take at least, even if its attempt no
 	// longer waits for it. A lost SYN is sent again after 1 s (RFC 6298), and the
 	// connection serves the next request; a dial given up costs the endpoint a
 	// handshake for nothing.
-	minDialTime = 2 * time.Second
+	minDialTimeout = 2 * time.Second
 
 	// The wait after a dial that failed on this machine's account doubles from
 	// the first to the last.
 	firstRetryWait = 2 * time.Millisecond
-	lastRetryWait  = 30 * time.Millisecond
+	maxRetryWait  = 30 * time.Millisecond
 
 	maxDialsPerWaiter = 2 // its own and the hedge
 )
@@ -59,7 +59,7 @@
 	if limit := p.config.ConnectTimeout; limit > 0 {
 		timeoutTimer := time.NewTimer(limit)
 		defer timeoutTimer.Stop()
-		hedgeTimer := time.NewTimer(time.Duration(hedgePart * float64(limit)))
+		hedgeTimer := time.NewTimer(time.Duration(hedgeDelayFraction * float64(limit)))
 		defer hedgeTimer.Stop()
 		timeout, hedge = timeoutTimer.C, hedgeTimer.C
 	}
@@ -139,7 +139,7 @@
 // caller holds p.mu.
 func (p *Pool) dial(b *backend, w *waiter) {
 	b.dials++
-	ctx, cancel := context.WithTimeout(context.Background(), max(minDialTime, p.config.ConnectTimeout))
+	ctx, cancel := context.WithTimeout(context.Background(), max(minDialTimeout, p.config.ConnectTimeout))
 	w.cancelDials = append(w.cancelDials, cancel)
 	go func() {
 		defer cancel()
@@ -175,7 +175,7 @@
 		if !sockets.Sleep(ctx, wait) {
 			return nil, err
 		}
-		wait = min(2*wait, lastRetryWait)
+		wait = min(2*wait, maxRetryWait)
 	}
 }
 
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -28,7 +28,7 @@
 	defaultMaxIdle = time.Minute // without an idle timeout in the settings
 
 	// Idle connections are checked for their age in this part of MaxIdle.
-	expiryPart        = 8
+	expiryChecksPerMaxIdle        = 8
 	minExpiryInterval = 50 * time.Millisecond
 )
 
@@ -100,7 +100,7 @@
 
 // Run closes connections that have been idle for too long, until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
-	interval := max(p.config.MaxIdle/expiryPart, minExpiryInterval)
+	interval := max(p.config.MaxIdle/expiryChecksPerMaxIdle, minExpiryInterval)
 	for sockets.Sleep(ctx, interval) {
 		p.closeExpired(time.Now())
 	}
