--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -14,7 +14,7 @@
 	"bankshift/balancer"
 )
 
-func TestRefusedConnectionNeverRan(t *testing.T) {
+func TestOutcomeWithoutConnection(t *testing.T) {
 	if got := attempt(t, newTestPool(refusingAddress(t)), testTimeout); got.Outcome != balancer.ConnectFailed {
 		t.Errorf("outcome %d, want ConnectFailed", got.Outcome)
 	}
@@ -24,21 +24,21 @@
 	}
 }
 
-// shortConn breaks before the last byte is written.
-type shortConn struct{ *net.TCPConn }
+// shortWriteConn breaks before the last byte is written.
+type shortWriteConn struct{ *net.TCPConn }
 
-func (c shortConn) Write(b []byte) (int, error) {
+func (c shortWriteConn) Write(b []byte) (int, error) {
 	n, _ := c.TCPConn.Write(b[:len(b)-1])
 	return n, errors.New("broken")
 }
 
-func TestBreakBeforeTheLastByteNeverRan(t *testing.T) {
+func TestWriteFailsBeforeLastByte(t *testing.T) {
 	p := newTestPool(startOKEndpoint(t))
 	if got := attempt(t, p, testTimeout); got.Outcome != balancer.OK {
 		t.Fatalf("outcome %d, want OK", got.Outcome)
 	}
 	idle := p.backends[endpoint].idle
-	idle[0].Conn = shortConn{idle[0].Conn.(*net.TCPConn)}
+	idle[0].Conn = shortWriteConn{idle[0].Conn.(*net.TCPConn)}
 	if got := attempt(t, p, testTimeout); got.Outcome != balancer.ConnectFailed {
 		t.Errorf("outcome %d, want ConnectFailed", got.Outcome)
 	}
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestEndedAttemptIsClosed: the endpoint must see the end of an attempt no later
+// TestEndedAttemptClosesConnection: the endpoint must see the end of an attempt no later
 // than the balancer does, or a further attempt could overlap it.
-func TestEndedAttemptIsClosed(t *testing.T) {
+func TestEndedAttemptClosesConnection(t *testing.T) {
 	for name, want := range map[string]balancer.Outcome{"timed out": balancer.TimedOut, "canceled": balancer.Canceled} {
 		received, closed := make(chan struct{}), make(chan struct{})
 		p := newTestPool(startEndpoint(t, func(_ int, _ net.Conn, r *bufio.Reader) {
@@ -128,7 +128,7 @@
 	if got := p.Attempt(ctx, ctx, endpoint, newRequest()); got.Outcome != balancer.NotSent {
 		t.Errorf("outcome %d, want NotSent", got.Outcome)
 	}
-	takeIdle(t, p)
+	closeIdleConn(t, p)
 	if id := receive(t, received, "the connection's end"); id != "" {
 		t.Errorf("request %q was sent", id)
 	}
@@ -164,9 +164,9 @@
 	}
 }
 
-// TestCalledOffBeforeTheFirstByte: startCtx ends when the connection is up and
+// TestStartContextEndsBeforeFirstByte: startCtx ends when the connection is up and
 // nothing has been written.
-func TestCalledOffBeforeTheFirstByte(t *testing.T) {
+func TestStartContextEndsBeforeFirstByte(t *testing.T) {
 	address, received := startRecordingEndpoint(t)
 	p := newTestPool(address)
 	startCtx, callOff := context.WithCancel(context.Background())
@@ -180,7 +180,7 @@
 	if got := p.Attempt(ctx, startCtx, endpoint, newRequest()); got.Outcome != balancer.NotSent {
 		t.Errorf("outcome %d, want NotSent", got.Outcome)
 	}
-	takeIdle(t, p)
+	closeIdleConn(t, p)
 	if err := startCtx.Err(); !errors.Is(err, context.Canceled) {
 		t.Errorf("startCtx ended with %v, want %v", err, context.Canceled)
 	}
@@ -189,9 +189,9 @@
 	}
 }
 
-// TestEndpointDiesAfterAccept: a request of which the endpoint has read the last
+// TestEndpointResetsAfterAccept: a request of which the endpoint has read the last
 // byte may have run; no other is reported so without cause.
-func TestEndpointDiesAfterAccept(t *testing.T) {
+func TestEndpointResetsAfterAccept(t *testing.T) {
 	for name, c := range map[string]struct {
 		read func(r *bufio.Reader)
 		want []balancer.Outcome
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -27,7 +27,7 @@
 	// The wait after a dial that failed on this machine's account doubles from
 	// the first to the last.
 	firstRetryWait = 2 * time.Millisecond
-	maxRetryWait  = 30 * time.Millisecond
+	maxRetryWait   = 30 * time.Millisecond
 
 	maxDialsPerWaiter = 2 // its own and the hedge
 )
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -147,17 +147,17 @@
 	}
 }
 
-// passingDialErrors are those of socket(2) and connect(2) that the state of this
+// transientDialErrors are those of socket(2) and connect(2) that the state of this
 // machine can bring about for a moment.
-var passingDialErrors = []syscall.Errno{
+var transientDialErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR,
 	syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.ETIMEDOUT, syscall.EPERM,
 }
 
-// TestPassingDialErrorIsRetried: socket or connect fails three times in a row,
+// TestTransientDialErrorIsRetried: socket or connect fails three times in a row,
 // and the attempt outlasts it.
-func TestPassingDialErrorIsRetried(t *testing.T) {
-	for _, errno := range passingDialErrors {
+func TestTransientDialErrorIsRetried(t *testing.T) {
+	for _, errno := range transientDialErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			address, _ := startRecordingEndpoint(t)
@@ -178,11 +178,11 @@
 	}
 }
 
-// TestLastingDialError: no endpoint is at fault where none can be reached from
+// TestPersistentDialError: no endpoint is at fault where none can be reached from
 // this machine. If another connection comes up meanwhile, the endpoint is that
 // cannot be reached.
-func TestLastingDialError(t *testing.T) {
-	for _, errno := range passingDialErrors {
+func TestPersistentDialError(t *testing.T) {
+	for _, errno := range transientDialErrors {
 		for _, otherComesUp := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%v, another comes up: %v", errno, otherComesUp), func(t *testing.T) {
 				t.Parallel()
--- a/internal/upstream/heldup_test.go
+++ b/internal/upstream/heldup_test.go
@@ -12,20 +12,20 @@
 	"bankshift/balancer"
 )
 
-// TestHeldUpAfterTheLastCheck: the process is held up between the last checks of a
+// TestProcessPausedAfterLastCheck: the process is held up between the last checks of a
 // request and its first byte. What happens meanwhile counts.
-func TestHeldUpAfterTheLastCheck(t *testing.T) {
-	const heldUpTime = 400 * time.Millisecond
+func TestProcessPausedAfterLastCheck(t *testing.T) {
+	const pauseTime = 400 * time.Millisecond
 	const deadlineSlack = 150 * time.Millisecond // by the operators' pages
 	for name, test := range map[string]struct {
-		meanwhile func(p *Pool) (clientLeft bool)
-		startBy   time.Duration
-		want      balancer.Outcome
+		duringPause func(p *Pool) (clientLeft bool)
+		startBy     time.Duration
+		want        balancer.Outcome
 	}{
 		"time passes":          {func(*Pool) bool { return false }, testTimeout, balancer.OK},
 		"the client leaves":    {func(*Pool) bool { return true }, testTimeout, balancer.NotSent},
 		"the endpoint drains":  {func(p *Pool) bool { p.Set(endpoint, p.backends[endpoint].address, 0, true); return false }, testTimeout, balancer.NotSent},
-		"the start is overdue": {func(*Pool) bool { return false }, heldUpTime, balancer.NotSent},
+		"the start is overdue": {func(*Pool) bool { return false }, pauseTime, balancer.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			deadlines := make(chan time.Duration, 1)
@@ -40,14 +40,14 @@
 			defer cancel()
 			startCtx := unendingContext{context.Background(), time.Now().Add(test.startBy)}
 			r := newRequest()
-			looks := 0
+			calls := 0
 			clientLeft := false
 			r.ClientLeft = func() bool {
-				looks++
+				calls++
 				leftBefore := clientLeft
-				if looks == 1 {
-					clientLeft = test.meanwhile(p)
-					time.Sleep(heldUpTime)
+				if calls == 1 {
+					clientLeft = test.duringPause(p)
+					time.Sleep(pauseTime)
 				}
 				return leftBefore
 			}
@@ -60,7 +60,7 @@
 				}
 				return
 			}
-			left := testTimeout - heldUpTime // at most
+			left := testTimeout - pauseTime // at most
 			if d := receive(t, deadlines, "the request"); d > left+deadlineSlack {
 				t.Errorf("sent with a deadline of %v, and at most %v was left", d, left)
 			}
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -146,9 +146,9 @@
 	return value
 }
 
-// takeIdle takes an idle connection to the endpoint out of the pool and closes
+// closeIdleConn takes an idle connection to the endpoint out of the pool and closes
 // it, or fails the test if there is none.
-func takeIdle(t *testing.T, p *Pool) {
+func closeIdleConn(t *testing.T, p *Pool) {
 	t.Helper()
 	c, _, err := p.takeOrReserve(endpoint)
 	if err != nil || c == nil {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -28,8 +28,8 @@
 	defaultMaxIdle = time.Minute // without an idle timeout in the settings
 
 	// Idle connections are checked for their age in this part of MaxIdle.
-	expiryChecksPerMaxIdle        = 8
-	minExpiryInterval = 50 * time.Millisecond
+	expiryChecksPerMaxIdle = 8
+	minExpiryInterval      = 50 * time.Millisecond
 )
 
 // Config states how a pool makes and keeps connections.
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestUncleanConnectionIsNotPooled: what follows a response would be taken for
+// TestUnusableConnectionIsNotPooled: what follows a response would be taken for
 // the next request's.
-func TestUncleanConnectionIsNotPooled(t *testing.T) {
+func TestUnusableConnectionIsNotPooled(t *testing.T) {
 	for name, response := range map[string]string{
 		"more than the response": okResponse + okResponse,
 		"asks to close":          "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi",
