--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -8,27 +8,27 @@
 	"bankshift/balancer"
 )
 
-// maxCheckAge is how old the last checks of a request may be as its first byte is
-// written. They take some microseconds, unless this process is held up.
+// maxCheckAge is how old the last checks of a request may be when its first byte is
+// written. They take some microseconds, unless this process is paused meanwhile.
 const maxCheckAge = 5 * time.Millisecond
 
 // Result is how an attempt ended.
 type Result struct {
 	Outcome balancer.Outcome
 	SentAt  time.Time            // when the last byte of the request was written; zero if it was not
-	Report  *balancer.LoadReport // of the response; nil: it had none that is valid
-	Header  http.Header          // of the response; only with balancer.OK
-	Body    []byte               // of the response; only with balancer.OK
+	Report  *balancer.LoadReport // load report of the response; nil if there is no valid one
+	Header  http.Header          // response headers; only with balancer.OK
+	Body    []byte               // response body; only with balancer.OK
 	Err     error                // an *AttemptError if there was no valid response, else nil
 }
 
-// Attempt sends r to an endpoint once and waits for the response until ctx
-// ends. ctx must have a deadline; the time left until then goes along as the
-// deadline header.
+// Attempt sends r to an endpoint once and waits for the response until ctx ends.
+// ctx must have a deadline; the time left until then is sent in the X-Deadline
+// header.
 //
-// Once startCtx has ended, a request of which nothing has been written is not
-// sent any more. That cancels no work of the endpoint, so a caller may end
-// startCtx even if the settings do not allow attempts to be canceled.
+// Once startCtx has ended, Attempt no longer begins to write the request. The
+// endpoint has no work to cancel at that point, so a caller may end startCtx even
+// if the settings forbid canceling attempts.
 //
 // When Attempt returns, its connection is closed or back in the pool, so that a
 // further attempt cannot overlap it.
@@ -54,8 +54,8 @@
 	stopInterrupt := context.AfterFunc(ctx, c.interrupt)
 	defer stopInterrupt()
 
-	// This comes ahead of the check of startCtx, or a request could be sent after
-	// its client was answered that it was not.
+	// mayBeSent must be set before startCtx is checked. Otherwise the client could
+	// be told that its request was not sent, and the request be sent afterwards.
 	r.mayBeSent.Store(true)
 	message, ok := c.prepare(ctx, startCtx, deadline, r, encoded)
 	if !ok {
@@ -63,15 +63,18 @@
 		return notSent(id, ErrCalledOff)
 	}
 	result, reusable := c.exchange(ctx, r.Method, message)
-	// An interrupt that cannot be stopped any more could hit the next exchange.
+	// If the interrupt has started, it could break the next exchange on c, so c is
+	// not reused.
 	c.finish(reusable && stopInterrupt())
 	return result
 }
 
 // prepare makes the last checks before the first byte of r is written, and returns
-// what to write. It reports false if r must not be sent any more. The dial may have
-// taken a while, and this process may be held up at any point: the checks and the
-// deadline in the message are at most maxCheckAge old when prepare returns.
+// the message to write. It reports false if r must no longer be sent.
+//
+// The dial may have taken long, and this process may be paused at any point.
+// prepare therefore repeats the checks until both they and the deadline in the
+// message are at most maxCheckAge old.
 func (c *conn) prepare(ctx, startCtx context.Context, deadline time.Time, r *Request, encoded encodedRequest) (message []byte, ok bool) {
 	for {
 		now := time.Now()
@@ -86,13 +89,13 @@
 	}
 }
 
-// mayStart reports whether r may still be sent.
+// mayStart reports whether r may still be sent, with timeLeft until its deadline.
 func (c *conn) mayStart(ctx, startCtx context.Context, now time.Time, timeLeft time.Duration, r *Request) bool {
 	startBy, limited := startCtx.Deadline()
 	switch {
 	case startCtx.Err() != nil, ctx.Err() != nil:
 		return false
-	case limited && !now.Before(startBy): // its timer may be late
+	case limited && !now.Before(startBy): // the timer that ends startCtx may be late
 		return false
 	case timeLeft < minDeadline:
 		return false
@@ -104,8 +107,7 @@
 	return true
 }
 
-// finish puts c back into the pool if it can carry another request, or else closes
-// it.
+// finish puts c back into the pool if it is reusable, and otherwise closes it.
 func (c *conn) finish(reusable bool) {
 	if reusable {
 		c.release()
@@ -123,7 +125,7 @@
 		if written < len(request) {
 			return failedUnsent(ctx, id, StepWrite, err), false
 		}
-		return failedSent(ctx, id, StepWrite, err), false // the last byte may have arrived
+		return failedSent(ctx, id, StepWrite, err), false // the whole request may have arrived
 	}
 	sentAt := time.Now()
 
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// conn is a connection to an endpoint. It belongs to one attempt at a time, or
-// to the pool while it is idle.
+// conn is a connection to an endpoint. One attempt at a time owns it, or the pool
+// while it is idle.
 type conn struct {
 	net.Conn
 	pool    *Pool
 	backend *backend
 
 	reader     *bufio.Reader    // reads from readBudget
-	readBudget io.LimitedReader // reads from the conn, as much as one response may still take
-	readErr    error            // of the last read; nil unless the connection ended
+	readBudget io.LimitedReader // reads from the conn; N is how many more bytes the response may have
+	readErr    error            // error of the last read from the connection; nil if it succeeded
 
-	idleSince time.Time // set as it becomes idle
+	idleSince time.Time // when it last became idle
 }
 
 func newConn(raw net.Conn, p *Pool, b *backend) *conn {
@@ -28,33 +28,33 @@
 	return c
 }
 
-// Read keeps the error. It tells a connection that ended from a response that
-// is malformed or too long.
+// Read records its error in readErr, by which responseError distinguishes a
+// connection that ended from a response that is malformed or too long.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.readErr = err
 	return n, err
 }
 
-// idleFor returns for how long an idle connection has been idle.
+// idleFor returns how long an idle connection has been idle at the time now.
 func (c *conn) idleFor(now time.Time) time.Duration { return now.Sub(c.idleSince) }
 
-// acceptsRequests reports whether a new request may still go out on c. Its
-// endpoint may have been drained, replaced or removed while c came up.
+// acceptsRequests reports whether a new request may still be sent on c. Its endpoint
+// may have been drained, restarted, moved or removed while c was dialled.
 func (c *conn) acceptsRequests() bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	return c.backend.acceptsRequests()
 }
 
-// interrupt fails the reads and writes of c that are under way, and those to come.
+// interrupt makes reads and writes of c fail, both pending and future ones.
 func (c *conn) interrupt() { c.SetDeadline(pastDeadline) }
 
-// pastDeadline is a deadline that has passed.
+// pastDeadline is an I/O deadline in the past, so that reads and writes fail at once.
 var pastDeadline = time.Unix(1, 0)
 
-// release puts c back into the pool. The caller has read the last response to
-// its end, or sent nothing.
+// release puts c back into the pool. The caller must have read the last response
+// to its end, or have sent no request.
 func (c *conn) release() {
 	c.SetDeadline(time.Time{})
 	c.pool.mu.Lock()
@@ -62,7 +62,7 @@
 	c.pool.putIdle(c)
 }
 
-// discard closes c, which may be anywhere in an exchange.
+// discard closes c, which may be in the middle of an exchange.
 func (c *conn) discard() {
 	c.Conn.Close()
 	c.pool.mu.Lock()
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	// hedgeDelayFraction is the part of ConnectTimeout after which a second connection is
-	// dialled beside one that is not up yet. Most come up within a few round
-	// trips, and what delays one, a lost packet or a full backlog, seldom delays
-	// the next.
+	// hedgeDelayFraction is the fraction of ConnectTimeout after which a second
+	// connection is dialled if the first is not established yet. Most connections
+	// are established within a few round trips, and what delays one (a lost packet,
+	// a full backlog) seldom delays the next.
 	hedgeDelayFraction = 0.25
 
-	// minDialTimeout is how long a dial may take at least, even if its attempt no
-	// longer waits for it. A lost SYN is sent again after 1 s (RFC 6298), and the
-	// connection serves the next request; a dial given up costs the endpoint a
-	// handshake for nothing.
+	// minDialTimeout is the lower limit of a dial's timeout; a dial may outlast the
+	// attempt that began it. It leaves time for a lost SYN to be sent again after
+	// 1 s (RFC 6298). The connection then serves the next request, whereas an
+	// abandoned dial costs the endpoint a handshake for nothing.
 	minDialTimeout = 2 * time.Second
 
-	// The wait after a dial that failed on this machine's account doubles from
-	// the first to the last.
+	// The wait before a dial is retried doubles from firstRetryWait to maxRetryWait.
+	// dialWithRetry states which errors are retried.
 	firstRetryWait = 2 * time.Millisecond
 	maxRetryWait   = 30 * time.Millisecond
 
-	maxDialsPerWaiter = 2 // its own and the hedge
+	maxDialsPerWaiter = 2 // the first dial and the hedged one
 )
 
 // waiter is an attempt that waits for a connection.
 type waiter struct {
 	startedAt time.Time
-	connected chan *conn // receives one connection at most, from any dial
-	failed    chan error // receives the error of each of its own dials that fails
+	connected chan *conn // receives at most one connection, from any dial to the endpoint
+	failed    chan error // receives the error of each dial of this waiter that fails
 
-	cancelDials []context.CancelFunc // of its own dials; used by the attempt's goroutine only
-	lastFailure error                // of its own dials that are still being retried; guarded by Pool.mu
+	cancelDials []context.CancelFunc // one for each dial of this waiter; used by the attempt's goroutine only
+	lastFailure error                // last error of a dial of this waiter that is retried; guarded by Pool.mu
 }
 
 func newWaiter() *waiter {
@@ -50,9 +50,9 @@
 	}
 }
 
-// connect dials b and returns the first connection to it that comes up, be it
-// by its own dial or by one that an earlier attempt left behind. The caller has
-// counted the first connection. If connect fails, nothing has been sent.
+// connect dials b and returns the first connection to it that becomes available,
+// from its own dials or from those of other attempts. The caller must have added
+// the first dial to Pool.connections. If connect fails, nothing has been sent.
 func (p *Pool) connect(ctx context.Context, b *backend) (*conn, error) {
 	w := newWaiter()
 	var timeout, hedge <-chan time.Time
@@ -85,7 +85,7 @@
 	}
 }
 
-// startWaiting adds w to the waiters of b and begins its first dial.
+// startWaiting adds w to the waiters of b and starts its first dial.
 func (p *Pool) startWaiting(b *backend, w *waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,8 +93,8 @@
 	p.dial(b, w)
 }
 
-// hedge begins a second dial for w, unless more dials than waiters are under
-// way already or there are too many connections.
+// hedge starts a second dial for w, unless b already has more dials in progress
+// than waiters, or the pool is at MaxConnections.
 func (p *Pool) hedge(b *backend, w *waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,7 +104,8 @@
 	}
 }
 
-// giveUp ends the wait of w with err, unless a connection has come up meanwhile.
+// giveUp ends the wait of w. It returns err, or the connection that w was handed
+// in the meantime.
 func (p *Pool) giveUp(b *backend, w *waiter, err error) (*conn, error) {
 	if c := p.stopWaiting(b, w); c != nil {
 		return c, nil
@@ -112,10 +113,12 @@
 	return nil, err
 }
 
-// stopWaiting removes w from the waiters of b, and returns the connection that
-// it was handed but has not received; nil: there is none. One dial more than
-// there are waiters goes on, for the next attempt; if there are more, those of
-// w are canceled.
+// stopWaiting removes w from the waiters of b. It returns the connection that w was
+// handed but has not received, or nil if there is none.
+//
+// The dials of w go on, so that their connection serves the next attempt, unless b
+// then has at least two more dials in progress than waiters. In that case all dials
+// of w are canceled.
 func (p *Pool) stopWaiting(b *backend, w *waiter) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,8 +138,8 @@
 	}
 }
 
-// dial begins to dial a connection for w, which the caller has counted. The
-// caller holds p.mu.
+// dial starts to dial a connection for w in a new goroutine. The caller holds p.mu
+// and has added the dial to p.connections.
 func (p *Pool) dial(b *backend, w *waiter) {
 	b.dials++
 	ctx, cancel := context.WithTimeout(context.Background(), max(minDialTimeout, p.config.ConnectTimeout))
@@ -156,9 +159,9 @@
 	}()
 }
 
-// dialWithRetry connects to an address. A failure on this machine's account is
-// likely to pass, so the dial is retried until ctx ends. So is one that found
-// no route to the endpoint, which may be due to this machine, too.
+// dialWithRetry connects to an address. It retries errors that come from a shortage
+// on this machine, which is likely to pass, until ctx ends. It also retries if there
+// is no route to the endpoint, as this machine may be the cause of that, too.
 func (p *Pool) dialWithRetry(ctx context.Context, address string, w *waiter) (net.Conn, error) {
 	wait := firstRetryWait
 	for {
@@ -179,8 +182,8 @@
 	}
 }
 
-// handOver gives a new connection to the attempt that has waited longest, or
-// keeps it for the next one. The caller holds p.mu.
+// handOver gives a new connection to the attempt that has waited longest. If none
+// waits, it adds the connection to the idle ones. The caller holds p.mu.
 func (p *Pool) handOver(c *conn) {
 	p.lastConnectedAt = time.Now()
 	b := c.backend
@@ -188,13 +191,13 @@
 		p.putIdle(c)
 		return
 	}
-	b.waiters[0].connected <- c // the attempt checks whether the endpoint still accepts requests
+	b.waiters[0].connected <- c // Attempt checks whether the endpoint still accepts requests
 	b.waiters = b.waiters[1:]
 }
 
-// timeoutError returns why no connection has come up for w within
-// ConnectTimeout. An endpoint that cannot be reached is at fault only if
-// another one could be reached meanwhile.
+// timeoutError returns the reason why w got no connection within ConnectTimeout. A
+// missing route to the endpoint counts against the endpoint only if a connection to
+// any endpoint was established while w waited; otherwise the error wraps ErrCutOff.
 func (p *Pool) timeoutError(b *backend, w *waiter) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -12,13 +12,13 @@
 
 // Reasons why an attempt failed, wrapped by an AttemptError.
 var (
-	ErrNotListed          = errors.New("endpoint not listed")
-	ErrTooManyConnections = errors.New("too many connections")
+	ErrNotListed          = errors.New("endpoint is not in the endpoint list")
+	ErrTooManyConnections = errors.New("connection limit of the pool reached")
 	ErrCutOff             = errors.New("no endpoint can be reached from this machine")
-	ErrCalledOff          = errors.New("called off before it was sent")
-	ErrBadResponse        = errors.New("bad response") // malformed or too long
+	ErrCalledOff          = errors.New("request must no longer be sent") // by the checks of conn.mayStart
+	ErrBadResponse        = errors.New("bad response")                   // malformed or too long
 
-	errNoDeadline = errors.New("attempt without a deadline")
+	errNoDeadline = errors.New("context of the attempt has no deadline")
 )
 
 // Step is the part of an attempt that failed.
@@ -26,13 +26,13 @@
 
 // The steps of an attempt, in order.
 const (
-	StepPrepare Step = "prepare" // all checks up to the first byte, and the encoding
-	StepDial    Step = "dial"    // also the wait for a connection
+	StepPrepare Step = "prepare" // encoding of the request, and the last checks before its first byte is written
+	StepDial    Step = "dial"    // getting a connection: an idle one, or waiting for a dial
 	StepWrite   Step = "write"
 	StepRead    Step = "read"
 )
 
-// AttemptError is why an attempt got no valid response.
+// AttemptError states why an attempt got no valid response.
 type AttemptError struct {
 	Endpoint   balancer.EndpointID
 	Step       Step
@@ -46,7 +46,7 @@
 
 func (e *AttemptError) Unwrap() error { return e.Err }
 
-// notSent is the result of an attempt that this side did not begin to send.
+// notSent returns the result of an attempt that this node has not begun to send.
 func notSent(id balancer.EndpointID, err error) Result {
 	return Result{
 		Outcome: balancer.NotSent,
@@ -54,8 +54,8 @@
 	}
 }
 
-// failedUnsent is the result of an attempt whose last byte was not written, so
-// that the request has never run. ctx is that of the step that failed.
+// failedUnsent returns the result of an attempt whose last byte was not written, so
+// that the request has never run. ctx is the context of the step that failed.
 func failedUnsent(ctx context.Context, id balancer.EndpointID, step Step, err error) Result {
 	return Result{
 		Outcome: unsentOutcome(ctx, err),
@@ -63,7 +63,7 @@
 	}
 }
 
-// failedSent is the result of an attempt that got no valid response after its
+// failedSent returns the result of an attempt that got no valid response after its
 // last byte was written, so that the request may have run.
 func failedSent(ctx context.Context, id balancer.EndpointID, step Step, err error) Result {
 	return Result{
@@ -72,9 +72,9 @@
 	}
 }
 
-// unsentOutcome returns the outcome of an attempt whose last byte was not
-// written. The endpoint is at fault unless the end of the request or a shortage
-// on this machine kept it from being sent.
+// unsentOutcome returns the outcome of an attempt whose last byte was not written.
+// That counts against the endpoint (ConnectFailed), unless the attempt ended first,
+// the endpoint is not listed, or the cause is on this machine (NotSent).
 func unsentOutcome(ctx context.Context, err error) balancer.Outcome {
 	switch {
 	case ctx.Err() != nil:
@@ -87,7 +87,7 @@
 	return balancer.ConnectFailed
 }
 
-// sentOutcome returns the outcome of an attempt whose last byte was written and
+// sentOutcome returns the outcome of an attempt whose last byte was written but
 // which got no valid response.
 func sentOutcome(ctx context.Context, err error) balancer.Outcome {
 	switch {
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -9,10 +9,10 @@
 	"bankshift/internal/loadreport"
 )
 
-// parseLoadReport parses the value of a load report's header, a list like
-// "inflight=7,queue=2"; nil: there is no report. Fields with unknown names are
-// skipped. A report that is malformed in any part is ignored as a whole, since
-// it would replace better counts by a part of them.
+// parseLoadReport parses the value of the load report header, a list like
+// "inflight=7,queue=2". It returns nil if there is no valid report. Fields with
+// unknown names are skipped. A report with any malformed field is ignored as a
+// whole, since its other fields alone would replace better counts by a part of them.
 func parseLoadReport(header string) *balancer.LoadReport {
 	if header == "" {
 		return nil
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,6 +1,6 @@
-// Package upstream sends requests to endpoints over pooled HTTP/1.1
-// connections. An attempt sends a request at most once and never repeats it;
-// how it ended says whether the request may have run.
+// Package upstream sends requests to endpoints over pooled HTTP/1.1 connections.
+// An attempt sends a request at most once and never retries it. The attempt's
+// outcome states whether the request may have run.
 package upstream
 
 import (
@@ -15,34 +15,35 @@
 )
 
 const (
-	// IdlePart is the part of the settings' idle timeout after which a
-	// connection is closed: the endpoint must never be the first to close it.
+	// IdlePart is the fraction of the idle timeout in the settings after which the
+	// pool closes an idle connection, so that the endpoint never closes it first.
 	IdlePart = 0.75
 
-	// RestTime is how long a connection carries no request after a response.
-	// Whatever an endpoint does right behind a response, be it stray bytes, a
-	// second copy of it or a close, shows within this time, and can neither
-	// answer the next request nor break it.
+	// RestTime is how long a connection must stay idle after a response before it
+	// carries the next request. If an endpoint sends stray bytes or a duplicate of
+	// the response, or closes the connection, right after a response, that shows
+	// within this time and can neither answer the next request nor break it.
 	RestTime = 25 * time.Millisecond
 
-	defaultMaxIdle = time.Minute // without an idle timeout in the settings
+	defaultMaxIdle = time.Minute // if the settings have no idle timeout
 
-	// Idle connections are checked for their age in this part of MaxIdle.
+	// Run closes expired connections expiryChecksPerMaxIdle times per MaxIdle, but
+	// waits at least minExpiryInterval in between.
 	expiryChecksPerMaxIdle = 8
 	minExpiryInterval      = 50 * time.Millisecond
 )
 
-// Config states how a pool makes and keeps connections.
+// Config states how a pool dials and keeps connections.
 type Config struct {
-	Dialer         net.Dialer    // makes the connections; ConnectTimeout stands in for its Timeout
+	Dialer         net.Dialer    // dials connections; ConnectTimeout takes the place of its Timeout
 	ConnectTimeout time.Duration // how long an attempt waits for a connection; 0: until its own deadline
-	MaxIdle        time.Duration // a connection that has been idle for so long is closed
-	RestTime       time.Duration // a connection carries no request for so long after a response
-	MaxConnections int           // idle, in use or being dialled
+	MaxIdle        time.Duration // how long a connection may be idle before it is closed
+	RestTime       time.Duration // how long a connection must be idle after a response before its next request
+	MaxConnections int           // limit of connections that are idle, in use or being dialled
 }
 
-// ConfigFor returns the configuration that the settings ask for, with at most
-// maxConnections connections.
+// ConfigFor derives a pool's configuration from the settings, with a limit of
+// maxConnections.
 func ConfigFor(s balancer.Settings, maxConnections int) Config {
 	c := Config{
 		Dialer:         net.Dialer{KeepAlive: -1},
@@ -60,11 +61,11 @@
 // Pool keeps connections to endpoints and sends requests on them. Its methods
 // may be called from any goroutine.
 //
-// The pool owns a connection while it is idle or being dialled, and closes it
-// when it expires, gives way to another one, or belongs to an endpoint that was
-// restarted, moved or removed. An attempt owns the connection that it was
-// handed until it has put it back or closed it, which it does before it
-// returns. The pool holds no lock during an exchange.
+// The pool owns a connection while it is idle or being dialled. It closes an idle
+// connection that expires, is evicted for another one, or belongs to an endpoint
+// that was restarted, moved or removed. An attempt owns the connection that it was
+// handed, and returns it to the pool or closes it before it ends. The pool holds no
+// lock during an exchange.
 type Pool struct {
 	config Config // does not change
 
@@ -74,10 +75,10 @@
 	backends        map[balancer.EndpointID]*backend // Guarded by mu, as are the backends' fields.
 }
 
-// backend is one incarnation of an endpoint. A restart or a new address makes a
-// new backend, to which the connections of the old one never return. Its fields
-// are guarded by Pool.mu, but for endpoint, address and startedAt, which do not
-// change.
+// backend is one incarnation of an endpoint. After a restart or a change of address
+// the endpoint gets a new backend, and connections of the old one are never reused.
+// Its fields are guarded by Pool.mu, except for endpoint, address and startedAt,
+// which do not change.
 type backend struct {
 	endpoint  balancer.EndpointID
 	address   string
@@ -85,20 +86,20 @@
 
 	closed   bool      // the endpoint was removed, or has a new incarnation
 	draining bool      // the endpoint takes no new requests
-	idle     []*conn   // the most recently used last
+	idle     []*conn   // idle connections, the most recently used last
 	waiters  []*waiter // attempts that wait for a connection, oldest first
-	dials    int       // connections that are being dialled
+	dials    int       // number of dials in progress
 }
 
-// acceptsRequests reports whether new requests may go to b.
+// acceptsRequests reports whether new requests may be sent to b.
 func (b *backend) acceptsRequests() bool { return !b.closed && !b.draining }
 
-// NewPool returns an empty pool. Run closes its idle connections as they expire.
+// NewPool returns an empty pool. Its idle connections expire only while Run runs.
 func NewPool(c Config) *Pool {
 	return &Pool{config: c, backends: map[balancer.EndpointID]*backend{}}
 }
 
-// Run closes connections that have been idle for too long, until ctx ends.
+// Run closes connections that have been idle for MaxIdle, until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
 	interval := max(p.config.MaxIdle/expiryChecksPerMaxIdle, minExpiryInterval)
 	for sockets.Sleep(ctx, interval) {
@@ -106,10 +107,9 @@
 	}
 }
 
-// Set adds an endpoint or changes what is known of it; startedAt is its start
-// as Unix time in ms. If its address or its start is another than before, the
-// idle connections are closed, and those in use are as soon as their attempts
-// end.
+// Set adds or updates an endpoint. startedAt is the time of its start as Unix time
+// in ms. If address or startedAt has changed, Set closes the endpoint's idle
+// connections, and those in use are closed as soon as their attempts end.
 func (p *Pool) Set(id balancer.EndpointID, address string, startedAt int64, draining bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,8 +123,8 @@
 	p.backends[id] = &backend{endpoint: id, address: address, startedAt: startedAt, draining: draining}
 }
 
-// Remove forgets an endpoint. Its idle connections are closed, and those in use
-// are as soon as their attempts end.
+// Remove removes an endpoint and closes its idle connections. Those in use are
+// closed as soon as their attempts end.
 func (p *Pool) Remove(id balancer.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +134,7 @@
 	}
 }
 
-// Len returns the number of endpoints that are set, draining ones included.
+// Len returns the number of endpoints in the pool, including draining ones.
 func (p *Pool) Len() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,7 +150,8 @@
 	}
 }
 
-// close sees to it that b gets no further requests. The caller holds p.mu.
+// close marks b as closed, so that it gets no further requests, and closes its idle
+// connections. The caller holds p.mu.
 func (p *Pool) close(b *backend) {
 	b.closed = true
 	p.closeIdle(b)
@@ -164,14 +165,14 @@
 	b.idle = nil
 }
 
-// closeConn closes a connection, which then no longer counts. The caller holds
-// p.mu, and takes c off the idle ones.
+// closeConn closes c and subtracts it from p.connections. The caller holds p.mu,
+// and removes c from the idle connections if it is one of them.
 func (p *Pool) closeConn(c *conn) {
 	c.Conn.Close()
 	p.connections--
 }
 
-// closeExpired closes the connections that have been idle for too long.
+// closeExpired closes the connections that have been idle for MaxIdle at the time now.
 func (p *Pool) closeExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -185,8 +186,8 @@
 	}
 }
 
-// get returns an idle connection to an endpoint, or one that it waits for until
-// ctx ends. If it fails, nothing has been sent.
+// get returns an idle connection to an endpoint. If there is none, it dials one and
+// waits for it until ctx ends. If get fails, nothing has been sent.
 func (p *Pool) get(ctx context.Context, id balancer.EndpointID) (*conn, error) {
 	c, b, err := p.takeOrReserve(id)
 	if err != nil {
@@ -198,8 +199,8 @@
 	return p.connect(ctx, b)
 }
 
-// takeOrReserve returns an idle connection to an endpoint. If there is none, it
-// counts a new one, and returns the backend that the caller is to dial.
+// takeOrReserve returns an idle connection to an endpoint. If there is none, it adds
+// one to p.connections and returns the backend that the caller must dial.
 func (p *Pool) takeOrReserve(id balancer.EndpointID) (*conn, *backend, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -217,9 +218,9 @@
 	return nil, b, nil
 }
 
-// takeIdle takes the most recently used connection of b that has rested, and
-// closes those that cannot be used any more; nil: there is none. The caller
-// holds p.mu.
+// takeIdle takes the most recently used connection of b that has been idle for
+// RestTime, or returns nil if there is none. It closes the connections that it finds
+// unusable on the way. The caller holds p.mu.
 func (p *Pool) takeIdle(b *backend) *conn {
 	now := time.Now()
 	for i := len(b.idle) - 1; i >= 0; i-- {
@@ -228,8 +229,8 @@
 			continue
 		}
 		b.idle = slices.Delete(b.idle, i, i+1)
-		// A request on a connection that the endpoint has closed, or on which it
-		// sent something unasked, would end as a reset and might have run.
+		// On a connection that the endpoint has closed, or on which it sent
+		// unsolicited data, a request would fail as Reset and might have run.
 		if c.idleFor(now) < p.config.MaxIdle && sockets.Quiet(c.Conn) {
 			return c
 		}
@@ -238,8 +239,8 @@
 	return nil
 }
 
-// putIdle makes c an idle connection, or closes it if its endpoint takes no
-// further requests. The caller holds p.mu, and owns c until then.
+// putIdle adds c to the idle connections, or closes it if its endpoint accepts no
+// further requests. The caller holds p.mu, and passes ownership of c to the pool.
 func (p *Pool) putIdle(c *conn) {
 	if !c.backend.acceptsRequests() {
 		p.closeConn(c)
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -1,7 +1,6 @@
 package upstream
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -9,13 +8,14 @@
 	"bankshift/balancer"
 )
 
-// Limits of a response, in bytes.
+// Size limits of a response, in bytes.
 const (
 	maxBodySize = 64 << 10
-	maxHeadSize = 16 << 10 // of all heads: of the interim responses and of the final one
+	maxHeadSize = 16 << 10 // total of the heads of the interim responses and the final one
 
-	// maxFramedBodySize bounds a body as it is sent. At worst each byte is a
-	// chunk of its own: "1", a line end, the byte and a line end. Trailers follow.
+	// maxFramedBodySize limits a body as it is sent, with its framing. In the worst
+	// case each byte is a chunk of its own, which takes 6 bytes: "1", CRLF, the byte
+	// and CRLF. maxHeadSize is added for trailers.
 	maxFramedBodySize = 6*maxBodySize + maxHeadSize
 )
 
@@ -25,13 +25,13 @@
 // Headers of a response.
 const (
 	headerLoadReport = "X-Load"
-	headerNotRun     = "X-Not-Run" // notRun proves that the request has not run
+	headerNotRun     = "X-Not-Run" // the value notRun proves that the request has not run
 	notRun           = "1"
 )
 
-// readResponse reads one response to its end. reusable means that c can carry
-// another request. If the response cannot be read, the result holds the load
-// report at most, and the error is as responseError states.
+// readResponse reads one response to its end, and reports whether c can carry another
+// request. If it fails, the error is that of responseError, and the result holds
+// nothing but the load report, if a valid one was read.
 func (c *conn) readResponse(method string) (result Result, reusable bool, err error) {
 	c.readBudget.N = maxHeadSize
 	resp, err := c.readHead(method)
@@ -39,7 +39,7 @@
 		return Result{}, false, c.responseError(err)
 	}
 	result.Report = parseLoadReport(resp.Header.Get(headerLoadReport))
-	c.readBudget.N += maxFramedBodySize + 1 // the last byte is one too many
+	c.readBudget.N += maxFramedBodySize + 1 // reading the extra byte shows that the response is too long
 	body, err := c.readBody(resp)
 	if err != nil {
 		return result, false, c.responseError(err)
@@ -53,9 +53,9 @@
 	return result, reusable, nil
 }
 
-// responseError returns the error with which the connection ended while a
-// response was read. If it has not ended, the response cannot be used, and the
-// error wraps ErrBadResponse and err.
+// responseError returns the error to report when reading a response has failed with
+// err. If the connection ended, that is the error of the read. Otherwise the response
+// is malformed or too long, and the error wraps ErrBadResponse and err.
 func (c *conn) responseError(err error) error {
 	if c.readErr != nil {
 		return c.readErr
@@ -63,7 +63,7 @@
 	return fmt.Errorf("%w: %w", ErrBadResponse, err)
 }
 
-// readHead reads the head of the final response and skips interim ones.
+// readHead reads the head of the final response, skipping interim (1xx) responses.
 func (c *conn) readHead(method string) (*http.Response, error) {
 	for interim := 0; ; interim++ {
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -74,29 +74,31 @@
 			return resp, nil
 		}
 		if interim == maxInterimResponses || resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, fmt.Errorf("unexpected response %s", resp.Status)
+			return nil, fmt.Errorf("unexpected response %q after %d interim responses", resp.Status, interim)
 		}
 	}
 }
 
-// readBody reads the body of a response. It does not close it: that would read
-// on to an end that may never come.
+// readBody reads the body of a response. It does not close resp.Body, as Close would
+// go on reading until the end of the body, which may never come.
 func (c *conn) readBody(resp *http.Response) ([]byte, error) {
 	if resp.ContentLength > maxBodySize {
-		return nil, fmt.Errorf("body of %d bytes, want at most %d", resp.ContentLength, maxBodySize)
+		return nil, fmt.Errorf("Content-Length is %d, want at most %d", resp.ContentLength, maxBodySize)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBodySize+1))
 	if err != nil {
 		return nil, err
 	}
-	// Without a length, the end of the budget looks like the end of the body.
+	// If the response states no length, running out of readBudget looks like the end
+	// of the body.
 	if len(body) > maxBodySize || c.readBudget.N <= 0 {
-		return nil, errors.New("response too long")
+		return nil, fmt.Errorf("response too long: want at most %d bytes of body, and %d with heads and framing",
+			maxBodySize, maxHeadSize+maxFramedBodySize)
 	}
 	return body, nil
 }
 
-// responseOutcome returns what a complete response means to the balancer.
+// responseOutcome returns the balancer's outcome for a complete response.
 func responseOutcome(resp *http.Response) balancer.Outcome {
 	switch resp.StatusCode {
 	case http.StatusOK:
