--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -14,6 +14,9 @@
 	"bankshift/balancer"
 )
 
+// TestOutcomeWithoutConnection guards against wrong outcomes of attempts that got no
+// connection: ConnectFailed blames an endpoint that refuses connections; NotSent
+// blames no endpoint, as for one that is not listed.
 func TestOutcomeWithoutConnection(t *testing.T) {
 	if got := attempt(t, newTestPool(refusingAddress(t)), testTimeout); got.Outcome != balancer.ConnectFailed {
 		t.Errorf("outcome %d, want ConnectFailed", got.Outcome)
@@ -24,7 +27,7 @@
 	}
 }
 
-// shortWriteConn breaks before the last byte is written.
+// shortWriteConn is a connection that fails each write before its last byte.
 type shortWriteConn struct{ *net.TCPConn }
 
 func (c shortWriteConn) Write(b []byte) (int, error) {
@@ -32,6 +35,8 @@
 	return n, errors.New("broken")
 }
 
+// TestWriteFailsBeforeLastByte guards against reporting that a request may have run
+// although the connection failed before its last byte was written.
 func TestWriteFailsBeforeLastByte(t *testing.T) {
 	p := newTestPool(startOKEndpoint(t))
 	if got := attempt(t, p, testTimeout); got.Outcome != balancer.OK {
@@ -44,8 +49,9 @@
 	}
 }
 
-// TestBrokenConnectionIsNotRetried: a connection that breaks under a request is
-// an outcome; the pool must not send the request again on another one.
+// TestBrokenConnectionIsNotRetried guards against the pool sending a request again
+// by itself when the endpoint closes the connection without a response. The attempt
+// must end with the outcome Reset.
 func TestBrokenConnectionIsNotRetried(t *testing.T) {
 	received := make(chan int, 10)
 	p := newTestPool(startEndpoint(t, func(number int, c net.Conn, r *bufio.Reader) {
@@ -64,24 +70,25 @@
 		t.Errorf("outcome %d, want Reset", got.Outcome)
 	}
 	if n := len(received); n != 2 {
-		t.Errorf("%d requests came, want 2", n)
+		t.Errorf("endpoint received %d requests, want 2", n)
 	}
 	for range 2 {
 		if number := <-received; number != 0 {
-			t.Errorf("a request came on connection %d, want 0: the pool keeps connections", number)
+			t.Errorf("a request was received on connection %d, want 0: the pool must reuse connections", number)
 		}
 	}
 }
 
-// TestEndedAttemptClosesConnection: the endpoint must see the end of an attempt no later
-// than the balancer does, or a further attempt could overlap it.
+// TestEndedAttemptClosesConnection guards against a further attempt that overlaps one
+// that timed out or was canceled. The connection must be closed before Attempt
+// returns, so that the endpoint sees the end no later than the balancer does.
 func TestEndedAttemptClosesConnection(t *testing.T) {
 	for name, want := range map[string]balancer.Outcome{"timed out": balancer.TimedOut, "canceled": balancer.Canceled} {
 		received, closed := make(chan struct{}), make(chan struct{})
 		p := newTestPool(startEndpoint(t, func(_ int, _ net.Conn, r *bufio.Reader) {
 			readRequest(r)
 			close(received)
-			r.ReadByte() // until the node closes
+			r.ReadByte() // blocks until the node closes the connection
 			close(closed)
 		}))
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -96,17 +103,17 @@
 			t.Errorf("%s: outcome %d, want %d", name, got.Outcome, want)
 		}
 		if p.connections != 0 {
-			t.Errorf("%s: the connection is still open", name)
+			t.Errorf("%s: the pool still counts the connection as open", name)
 		}
 		select {
 		case <-closed:
 		case <-time.After(testTimeout):
-			t.Errorf("%s: the endpoint sees no end", name)
+			t.Errorf("%s: the connection was not closed for the endpoint", name)
 		}
 	}
 }
 
-// unendingContext has a deadline at which it does not end.
+// unendingContext has a deadline but is not done when it passes, as if its timer were late.
 type unendingContext struct {
 	context.Context
 	deadline time.Time
@@ -114,8 +121,8 @@
 
 func (c unendingContext) Deadline() (time.Time, bool) { return c.deadline, true }
 
-// TestNoTimeLeftNothingSent: a request is not sent with less time left than a
-// deadline header can state.
+// TestNoTimeLeftNothingSent guards against sending a request with less time left than
+// minDeadline, which the X-Deadline header could state only as 0.
 func TestNoTimeLeftNothingSent(t *testing.T) {
 	address, received := startRecordingEndpoint(t)
 	p := newTestPool(address)
@@ -123,7 +130,7 @@
 		t.Fatalf("outcome %d, want OK", got.Outcome)
 	}
 	receive(t, received, "the first request")
-	// The clock of a context may be behind: its deadline has passed, and it has not ended.
+	// A context's timer may be late, so that its deadline passes before it is done.
 	ctx := unendingContext{context.Background(), time.Now().Add(minDeadline - 1)}
 	if got := p.Attempt(ctx, ctx, endpoint, newRequest()); got.Outcome != balancer.NotSent {
 		t.Errorf("outcome %d, want NotSent", got.Outcome)
@@ -134,8 +141,8 @@
 	}
 }
 
-// TestEndpointChangesDuringDial: an endpoint is drained, restarted or removed
-// while a connection to it comes up. Nothing new may go there.
+// TestEndpointChangesDuringDial guards against sending a request to an endpoint that
+// was drained, restarted or removed while the connection for it was dialled.
 func TestEndpointChangesDuringDial(t *testing.T) {
 	for name, change := range map[string]func(p *Pool, address string){
 		"draining":  func(p *Pool, address string) { p.Set(endpoint, address, 0, true) },
@@ -164,8 +171,8 @@
 	}
 }
 
-// TestStartContextEndsBeforeFirstByte: startCtx ends when the connection is up and
-// nothing has been written.
+// TestStartContextEndsBeforeFirstByte guards against sending a request after startCtx
+// has ended, when a connection is available and nothing has been written.
 func TestStartContextEndsBeforeFirstByte(t *testing.T) {
 	address, received := startRecordingEndpoint(t)
 	p := newTestPool(address)
@@ -176,7 +183,7 @@
 		t.Fatalf("outcome %d, want OK", got.Outcome)
 	}
 	receive(t, received, "the first request")
-	callOff() // an idle connection needs no dial
+	callOff() // the next attempt takes the idle connection, so no dial notices the end of startCtx
 	if got := p.Attempt(ctx, startCtx, endpoint, newRequest()); got.Outcome != balancer.NotSent {
 		t.Errorf("outcome %d, want NotSent", got.Outcome)
 	}
@@ -189,8 +196,10 @@
 	}
 }
 
-// TestEndpointResetsAfterAccept: a request of which the endpoint has read the last
-// byte may have run; no other is reported so without cause.
+// TestEndpointResetsAfterAccept guards against reporting that a request never ran
+// although the endpoint has read its last byte. The endpoint resets the connection
+// after it has read nothing, a part or all of the request. Unless it has read all,
+// either outcome is correct.
 func TestEndpointResetsAfterAccept(t *testing.T) {
 	for name, c := range map[string]struct {
 		read func(r *bufio.Reader)
@@ -202,7 +211,7 @@
 	} {
 		p := newTestPool(startEndpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 			c.read(r)
-			conn.(*net.TCPConn).SetLinger(0) // the close resets
+			conn.(*net.TCPConn).SetLinger(0) // makes Close send a reset
 		}))
 		r := newRequest()
 		r.Method = http.MethodPost
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -14,9 +14,9 @@
 	"bankshift/internal/sockets"
 )
 
-// holdEachDial makes each dial of a pool wait for a channel of its own to be
-// closed. releases gets these channels in the order in which the dials begin,
-// and nil for a dial that is canceled.
+// holdEachDial makes each dial of a pool wait until a channel of its own is closed.
+// It sends these channels to releases in the order in which the dials begin, and nil
+// when a dial is canceled.
 func holdEachDial(p *Pool) (releases chan chan struct{}) {
 	releases = make(chan chan struct{}, 10)
 	setDialHook(p, func(ctx context.Context, _ string) error {
@@ -32,8 +32,8 @@
 	return releases
 }
 
-// awaitIdle waits until the pool holds just so many idle connections to the
-// endpoint and no dials.
+// awaitIdle waits until the pool has exactly want connections, all of them idle
+// connections to the endpoint, and no dials in progress.
 func awaitIdle(t *testing.T, p *Pool, want int) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
@@ -51,20 +51,20 @@
 	}
 }
 
-// TestSlowDialIsHedged: a connection that is slow to come up is dialled once
-// more, and whichever comes up first carries the request. The other one serves
-// the next.
+// TestSlowDialIsHedged guards against an attempt that waits for a single slow dial.
+// A second connection must be dialled, the first to be established must carry the
+// request, and the other one must stay in the pool for the next request.
 func TestSlowDialIsHedged(t *testing.T) {
 	address, received := startRecordingEndpoint(t)
 	p := newTestPool(address)
-	p.config.ConnectTimeout = testTimeout / 10 // so that the hedge comes in under a second
+	p.config.ConnectTimeout = testTimeout / 10 // so that the second dial starts in under a second
 	releases := holdEachDial(p)
 	results := make(chan Result, 1)
 	go func() { results <- attempt(t, p, testTimeout) }()
 	first := <-releases
 	close(<-releases)
 	if got := <-results; got.Outcome != balancer.OK {
-		t.Fatalf("outcome %v over the second dial, want OK", got.Outcome)
+		t.Fatalf("outcome %v with the second dial established, want OK", got.Outcome)
 	}
 	close(first)
 	awaitIdle(t, p, 2)
@@ -80,8 +80,9 @@
 	}
 }
 
-// TestDialOutlivesItsAttempt: the connection that an attempt waited for in vain
-// serves the next one. Only one such dial goes on.
+// TestDialOutlivesItsAttempt guards against wasted dials: when attempts end before
+// their connections are established, exactly one dial must go on, and its connection
+// must stay in the pool for the next attempt.
 func TestDialOutlivesItsAttempt(t *testing.T) {
 	address, _ := startRecordingEndpoint(t)
 	p := newTestPool(address)
@@ -98,12 +99,12 @@
 	cancel()
 	for range 3 {
 		if err := <-errs; !errors.Is(err, context.Canceled) {
-			t.Fatalf("got %v, want the attempt's end", err)
+			t.Fatalf("get failed with %v, want context canceled", err)
 		}
 	}
 	for range 2 {
 		if release := <-releases; release != nil {
-			t.Fatal("a dial began that nobody waits for")
+			t.Fatal("a dial began after all attempts had ended")
 		}
 	}
 	for _, release := range dials {
@@ -112,8 +113,8 @@
 	awaitIdle(t, p, 1)
 }
 
-// TestEarlierDialServes: an attempt is served by the connection that an earlier
-// one left behind, though its own does not come up.
+// TestEarlierDialServes guards against an attempt that waits for its own dial only. It
+// must also take the connection of a dial that an earlier attempt has left behind.
 func TestEarlierDialServes(t *testing.T) {
 	address, _ := startRecordingEndpoint(t)
 	p := newTestPool(address)
@@ -127,13 +128,14 @@
 	second := <-releases
 	close(first)
 	if got := <-results; got.Outcome != balancer.OK {
-		t.Fatalf("outcome %v, want OK over the earlier dial", got.Outcome)
+		t.Fatalf("outcome %v, want OK with the connection of the earlier dial", got.Outcome)
 	}
 	close(second)
 	awaitIdle(t, p, 2)
 }
 
-// TestConnectTimeout: a connection that is not up in time fails the attempt.
+// TestConnectTimeout guards against an attempt that waits longer than ConnectTimeout for
+// a connection. The attempt must fail with ConnectFailed.
 func TestConnectTimeout(t *testing.T) {
 	address, _ := startRecordingEndpoint(t)
 	p := newTestPool(address)
@@ -147,15 +149,16 @@
 	}
 }
 
-// transientDialErrors are those of socket(2) and connect(2) that the state of this
-// machine can bring about for a moment.
+// transientDialErrors are the errors of socket(2) and connect(2) that the state of this
+// machine can cause for a short time.
 var transientDialErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR,
 	syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.ETIMEDOUT, syscall.EPERM,
 }
 
-// TestTransientDialErrorIsRetried: socket or connect fails three times in a row,
-// and the attempt outlasts it.
+// TestTransientDialErrorIsRetried guards against an attempt that fails because of a
+// transient error of socket or connect. The dial fails three times in a row and must
+// be retried until it succeeds.
 func TestTransientDialErrorIsRetried(t *testing.T) {
 	for _, errno := range transientDialErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -178,13 +181,14 @@
 	}
 }
 
-// TestPersistentDialError: no endpoint is at fault where none can be reached from
-// this machine. If another connection comes up meanwhile, the endpoint is that
-// cannot be reached.
+// TestPersistentDialError guards against blaming an endpoint when no endpoint can be
+// reached from this machine: the outcome must be NotSent. Only if there is no route to
+// the endpoint while a connection to another one is established, it must be
+// ConnectFailed.
 func TestPersistentDialError(t *testing.T) {
 	for _, errno := range transientDialErrors {
 		for _, otherComesUp := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%v, another comes up: %v", errno, otherComesUp), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%v, other endpoint reachable: %v", errno, otherComesUp), func(t *testing.T) {
 				t.Parallel()
 				address, _ := startRecordingEndpoint(t)
 				otherAddress, _ := startRecordingEndpoint(t)
@@ -200,7 +204,7 @@
 				results := make(chan Result, 1)
 				startedAt := time.Now()
 				go func() { results <- attempt(t, p, testTimeout) }()
-				time.Sleep(60 * time.Millisecond) // the attempt begins before the other connection comes up
+				time.Sleep(60 * time.Millisecond) // the attempt begins before the other connection is established
 				ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 				defer cancel()
 				p.Attempt(ctx, ctx, otherEndpoint, newRequest())
@@ -217,8 +221,8 @@
 	}
 }
 
-// TestRefusedDialFailsAtOnce: an endpoint that refuses connections is left for
-// another one without a wait.
+// TestRefusedDialFailsAtOnce guards against retrying a dial that the endpoint refuses.
+// The attempt must fail at once, so that another endpoint can be tried.
 func TestRefusedDialFailsAtOnce(t *testing.T) {
 	p := newTestPool(refusingAddress(t))
 	var dials atomic.Int32
--- a/internal/upstream/errors_test.go
+++ b/internal/upstream/errors_test.go
@@ -13,8 +13,8 @@
 	"bankshift/balancer"
 )
 
-// TestUnsentOutcome: what this side kept from being sent has not run, and no
-// endpoint is at fault for it.
+// TestUnsentOutcome guards against blaming an endpoint for a request that this node
+// could not or did not send. The outcome must then be NotSent, not ConnectFailed.
 func TestUnsentOutcome(t *testing.T) {
 	running := context.Background()
 	ended, cancel := context.WithCancel(context.Background())
@@ -38,12 +38,13 @@
 	p := newTestPool(startEndpoint(t, func(_ int, _ net.Conn, r *bufio.Reader) { readRequest(r) }))
 	p.config.MaxConnections = 0
 	if got := attempt(t, p, testTimeout); got.Outcome != balancer.NotSent {
-		t.Errorf("outcome %d with no connection left, want NotSent", got.Outcome)
+		t.Errorf("outcome %d at the connection limit, want NotSent", got.Outcome)
 	}
 }
 
-// TestAttemptError: the error of an attempt names the endpoint and the step that
-// failed, wraps the reason, and says whether the request may have run.
+// TestAttemptError guards against an error of an attempt that does not name the
+// endpoint and the step that failed, does not wrap the reason, or misstates whether
+// the request may have run.
 func TestAttemptError(t *testing.T) {
 	respondWith := func(response string) string {
 		return startEndpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
--- a/internal/upstream/heldup_test.go
+++ b/internal/upstream/heldup_test.go
@@ -12,11 +12,12 @@
 	"bankshift/balancer"
 )
 
-// TestProcessPausedAfterLastCheck: the process is held up between the last checks of a
-// request and its first byte. What happens meanwhile counts.
+// TestProcessPausedAfterLastCheck guards against sending a request on the basis of
+// outdated checks. The process is paused between the last checks of a request and its
+// first byte; whatever changes during the pause must be taken into account.
 func TestProcessPausedAfterLastCheck(t *testing.T) {
 	const pauseTime = 400 * time.Millisecond
-	const deadlineSlack = 150 * time.Millisecond // by the operators' pages
+	const deadlineSlack = 150 * time.Millisecond // set by the operators: X-Deadline may exceed the time left by this
 	for name, test := range map[string]struct {
 		duringPause func(p *Pool) (clientLeft bool)
 		startBy     time.Duration
@@ -60,9 +61,9 @@
 				}
 				return
 			}
-			left := testTimeout - pauseTime // at most
+			left := testTimeout - pauseTime // upper limit
 			if d := receive(t, deadlines, "the request"); d > left+deadlineSlack {
-				t.Errorf("sent with a deadline of %v, and at most %v was left", d, left)
+				t.Errorf("sent with X-Deadline %v, and at most %v was left", d, left)
 			}
 		})
 	}
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -14,17 +14,17 @@
 	"bankshift/balancer"
 )
 
-// testTimeout bounds what a test waits for. A test that passes takes far less.
+// testTimeout limits each wait of a test. A test that passes takes far less.
 const testTimeout = 30 * time.Second
 
-// The endpoints of the tests' pools.
+// IDs of the endpoints in the tests' pools.
 const (
 	endpoint      balancer.EndpointID = 1
 	otherEndpoint balancer.EndpointID = 2
 )
 
 const (
-	testRequestID = "q" // of the requests that newRequest makes
+	testRequestID = "q" // X-Request-Id of the requests that newRequest returns
 	okResponse    = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: inflight=7,queue=2\r\n\r\nhi"
 )
 
@@ -38,8 +38,8 @@
 	return ln
 }
 
-// startEndpoint runs an endpoint and returns its address. handle gets each
-// connection with its number, and the connection is closed when it returns.
+// startEndpoint runs an endpoint and returns its address. It calls handle for each
+// connection, with the connection's number from 0, and closes it when handle returns.
 func startEndpoint(t *testing.T, handle func(number int, c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	ln := listen(t)
@@ -50,7 +50,7 @@
 			if err != nil {
 				return
 			}
-			c.SetDeadline(time.Now().Add(3 * testTimeout)) // a test that waits for the other side fails first
+			c.SetDeadline(time.Now().Add(3 * testTimeout)) // a test that waits for the node fails before that
 			go func() {
 				defer c.Close()
 				handle(number, c, bufio.NewReader(c))
@@ -70,9 +70,8 @@
 	})
 }
 
-// startRecordingEndpoint runs an endpoint that answers each request with
-// okResponse. received gets the id of each request, and "" for the end of each
-// connection.
+// startRecordingEndpoint runs an endpoint that answers each request with okResponse.
+// It sends the ID of each request to received, and "" at the end of each connection.
 func startRecordingEndpoint(t *testing.T) (address string, received chan string) {
 	t.Helper()
 	received = make(chan string, 10)
@@ -90,7 +89,7 @@
 	return address, received
 }
 
-// refusingAddress returns an address where nothing listens.
+// refusingAddress returns an address that refuses connections, as nothing listens on it.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	ln := listen(t)
@@ -98,7 +97,7 @@
 	return ln.Addr().String()
 }
 
-// readRequest reads a request with its body; nil if none comes.
+// readRequest reads a request with its body. It returns nil if that fails.
 func readRequest(r *bufio.Reader) *http.Request {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -108,8 +107,8 @@
 	return req
 }
 
-// newTestPool returns a pool with an endpoint at an address. Its connections
-// need no rest.
+// newTestPool returns a pool with an endpoint at an address. Its RestTime is 0, so
+// that a connection can be reused at once.
 func newTestPool(address string) *Pool {
 	c := ConfigFor(balancer.Settings{ConnectTimeout: testTimeout, IdleConnectionTimeout: time.Hour}, 100)
 	c.RestTime = 0
@@ -127,7 +126,7 @@
 	}
 }
 
-// attempt sends a request to the endpoint with a deadline after timeout.
+// attempt sends a request to the endpoint, with a deadline that is timeout from now.
 func attempt(t *testing.T, p *Pool, timeout time.Duration) Result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -135,39 +134,40 @@
 	return p.Attempt(ctx, ctx, endpoint, newRequest())
 }
 
-// receive waits for a value; what names it if none comes.
+// receive waits for a value. If none arrives within testTimeout, it fails the test and
+// names what it waited for.
 func receive[T any](t *testing.T, values <-chan T, what string) (value T) {
 	t.Helper()
 	select {
 	case value = <-values:
 	case <-time.After(testTimeout):
-		t.Fatal("waited in vain for " + what)
+		t.Fatal("timed out waiting for " + what)
 	}
 	return value
 }
 
-// closeIdleConn takes an idle connection to the endpoint out of the pool and closes
-// it, or fails the test if there is none.
+// closeIdleConn takes an idle connection to the endpoint from the pool and closes it.
+// It fails the test if there is none.
 func closeIdleConn(t *testing.T, p *Pool) {
 	t.Helper()
 	c, _, err := p.takeOrReserve(endpoint)
 	if err != nil || c == nil {
-		t.Errorf("the connection is not kept: %v", err)
+		t.Errorf("the pool has no idle connection: %v", err)
 		return
 	}
 	c.Close()
 }
 
-// setDialHook has hook called ahead of each connect of the pool's dials. An
-// error fails the dial. No dial may be under way.
+// setDialHook makes each dial of the pool call hook before it connects, and fail if
+// hook returns an error. It must not be called while a dial is in progress.
 func setDialHook(p *Pool, hook func(ctx context.Context, address string) error) {
 	p.config.Dialer.ControlContext = func(ctx context.Context, _, address string, _ syscall.RawConn) error {
 		return hook(ctx, address)
 	}
 }
 
-// holdDials makes the pool's dials wait: started gets a value when one begins,
-// and it goes on once release has a value or is closed.
+// holdDials makes the pool's dials wait. Each dial sends a value to started when it
+// begins, and goes on once it receives from release or release is closed.
 func holdDials(p *Pool) (started chan bool, release chan struct{}) {
 	started = make(chan bool, 10)
 	release = make(chan struct{}, 1)
--- a/internal/upstream/loadreport_test.go
+++ b/internal/upstream/loadreport_test.go
@@ -7,6 +7,8 @@
 	"bankshift/balancer"
 )
 
+// TestParseLoadReport guards against accepting a load report with a malformed field,
+// and against rejecting one because of unknown field names.
 func TestParseLoadReport(t *testing.T) {
 	for header, want := range map[string]*balancer.LoadReport{
 		"inflight=7,queue=2,util=0.5": {InFlight: 7, HasInFlight: true, Queued: 2, HasQueued: true, Utilization: 0.5},
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -70,9 +70,9 @@
 	config Config // does not change
 
 	mu              sync.Mutex
-	connections     int                              // idle, in use or being dialled; at most config.MaxConnections. Guarded by mu.
-	lastConnectedAt time.Time                        // when a connection to any endpoint last came up. Guarded by mu.
-	backends        map[balancer.EndpointID]*backend // Guarded by mu, as are the backends' fields.
+	connections     int                              // idle, in use or being dialled; at most MaxConnections; guarded by mu
+	lastConnectedAt time.Time                        // when a connection to any endpoint was last established; guarded by mu
+	backends        map[balancer.EndpointID]*backend // guarded by mu, as are the fields of the backends
 }
 
 // backend is one incarnation of an endpoint. After a restart or a change of address
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,8 +13,9 @@
 	"bankshift/internal/sockets"
 )
 
-// TestConnectionRestsAfterResponse: what an endpoint does right behind a
-// response must meet no request.
+// TestConnectionRestsAfterResponse guards against reusing a connection before it has
+// been idle for RestTime. Whatever an endpoint sends right after a response could
+// otherwise affect the next request.
 func TestConnectionRestsAfterResponse(t *testing.T) {
 	p := newTestPool(startNumberingEndpoint(t, nil))
 	p.config.RestTime = time.Hour
@@ -25,12 +26,12 @@
 	}
 	p.config.RestTime = 0
 	if got := attempt(t, p, testTimeout); string(got.Body) != "1" {
-		t.Errorf("connection %s answers, want the most recently used of those that have rested", got.Body)
+		t.Errorf("connection %s answers, want 1, the most recently used of those idle for RestTime", got.Body)
 	}
 }
 
-// startNumberingEndpoint runs an endpoint that answers with the number of the
-// connection. received, if there is one, gets it for each request.
+// startNumberingEndpoint runs an endpoint that answers each request with the number of
+// its connection. It also sends that number to received, unless received is nil.
 func startNumberingEndpoint(t *testing.T, received chan<- int) string {
 	return startEndpoint(t, func(number int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
@@ -42,34 +43,36 @@
 	})
 }
 
-// TestDuplicateResponse: a second copy of a response that comes after its
-// connection went back to the pool must not be taken for the next request's.
+// TestDuplicateResponse guards against taking a duplicate of a response for the response
+// to the next request. The duplicate arrives after the connection has gone back to the
+// pool.
 func TestDuplicateResponse(t *testing.T) {
 	received := make(chan int, 10)
 	p := newTestPool(startNumberingEndpoint(t, received))
 	p.config.RestTime = ConfigFor(balancer.Settings{}, 1).RestTime // as in production
 	const latestDuplicate = 5 * time.Millisecond
 	if p.config.RestTime < 4*latestDuplicate {
-		t.Errorf("a connection rests for %v, and duplicates come up to %v late", p.config.RestTime, latestDuplicate)
+		t.Errorf("RestTime is %v, want at least 4 times %v, by which duplicates may be late", p.config.RestTime, latestDuplicate)
 	}
 	if got := attempt(t, p, testTimeout); got.Outcome != balancer.OK {
 		t.Fatalf("outcome %d, want OK", got.Outcome)
 	}
 	p.mu.Lock()
 	first := p.backends[endpoint].idle[0]
-	first.idleSince = time.Now().Add(testTimeout) // it has just come back, however slow this machine is
+	first.idleSince = time.Now().Add(testTimeout) // it counts as just released, however slow this machine is
 	p.mu.Unlock()
 	if got := attempt(t, p, testTimeout); string(got.Body) != "1" {
 		t.Errorf("connection %s answers the next request, want a new one", got.Body)
 	}
 	for want := range 2 {
 		if number := receive(t, received, "a request"); number != want {
-			t.Errorf("a request comes on connection %d, want %d", number, want)
+			t.Errorf("a request was received on connection %d, want %d", number, want)
 		}
 	}
 }
 
-// TestClosedConnectionIsNotUsed: the endpoint has closed an idle connection.
+// TestClosedConnectionIsNotUsed guards against sending a request on an idle connection
+// that the endpoint has closed.
 func TestClosedConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{})
 	p := newTestPool(startEndpoint(t, func(number int, c net.Conn, r *bufio.Reader) {
@@ -84,11 +87,11 @@
 	}))
 	attempt(t, p, testTimeout)
 	<-closed
-	// The close has been sent; wait until it shows on this side.
+	// The endpoint has closed the connection; wait until the close shows on this side.
 	backend := p.backends[endpoint]
 	for until := time.Now().Add(testTimeout); len(backend.idle) > 0 && sockets.Quiet(backend.idle[0].Conn); {
 		if time.Now().After(until) {
-			t.Fatal("the close never shows")
+			t.Fatal("timed out waiting for the close of the idle connection to show")
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -97,8 +100,9 @@
 	}
 }
 
-// TestUnusableConnectionIsNotPooled: what follows a response would be taken for
-// the next request's.
+// TestUnusableConnectionIsNotPooled guards against reusing a connection on which more
+// than the response was received, which would be taken for the next response, or whose
+// endpoint asked to close it.
 func TestUnusableConnectionIsNotPooled(t *testing.T) {
 	for name, response := range map[string]string{
 		"more than the response": okResponse + okResponse,
@@ -118,8 +122,8 @@
 	}
 }
 
-// TestNewIncarnationClosesConnections: a restart or a new address of an
-// endpoint ends the connections to the process before.
+// TestNewIncarnationClosesConnections guards against reusing connections to the previous
+// incarnation of an endpoint after a restart or a change of its address.
 func TestNewIncarnationClosesConnections(t *testing.T) {
 	startNamed := func(name string) string {
 		return startEndpoint(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -133,7 +137,7 @@
 	attempt(t, p, testTimeout)
 	p.Set(endpoint, addressA, 0, false)
 	if len(p.backends[endpoint].idle) != 1 {
-		t.Error("the same entry again costs the connection")
+		t.Error("setting an unchanged endpoint again closed its idle connection")
 	}
 	p.Set(endpoint, addressA, 5, false)
 	if p.connections != 0 {
@@ -148,14 +152,15 @@
 	p.Set(endpoint, addressB, 5, false)
 	c.release()
 	if p.connections != 0 {
-		t.Errorf("%d connections open after a new address, want 0", p.connections)
+		t.Errorf("%d connections open after a change of address, want 0", p.connections)
 	}
 	if got := attempt(t, p, testTimeout); string(got.Body) != "b" {
-		t.Errorf("%q answers, want b", got.Body)
+		t.Errorf("response from endpoint %q, want b", got.Body)
 	}
 }
 
-// TestIdleConnections: their order of use, their limit and their expiry.
+// TestIdleConnections guards against a wrong order of reuse of idle connections, too many
+// connections, a wrong choice for eviction, and expiry that is too early or too late.
 func TestIdleConnections(t *testing.T) {
 	address := startOKEndpoint(t)
 	p := newTestPool(address)
@@ -172,20 +177,20 @@
 		conns = append(conns, c)
 	}
 	if _, err := p.get(ctx, otherEndpoint); err == nil {
-		t.Error("a third connection opens, over the limit of 2")
+		t.Error("a third connection was opened, over the limit of 2")
 	}
 
 	conns[1].release()
 	conns[0].release()
 	if c, _ := p.get(ctx, endpoint); c != conns[0] {
-		t.Error("the most recently used connection is not taken first")
+		t.Error("the most recently used connection was not taken first")
 	} else {
 		c.release()
 	}
 	c, err := p.get(ctx, otherEndpoint) // evicts the connection that has been idle longest
 	idle := p.backends[endpoint].idle
 	if err != nil || p.connections != 2 || len(idle) != 1 || idle[0] != conns[0] {
-		t.Fatalf("at the limit an idle connection does not give way: %v", err)
+		t.Fatalf("at the limit the connection idle for longest was not evicted: %v", err)
 	}
 	c.release()
 
@@ -202,6 +207,6 @@
 		t.Errorf("%d connections open after they expired, want 0", p.connections)
 	}
 	if p.config.MaxIdle >= time.Hour {
-		t.Errorf("connections stay idle for %v of the settings' 1h", p.config.MaxIdle)
+		t.Errorf("MaxIdle is %v, want less than the 1h idle timeout of the settings", p.config.MaxIdle)
 	}
 }
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestEncodeRequest: a request goes on unchanged but for its deadline.
+// TestEncodeRequest guards against changes to a request on its way to an endpoint. Only its
+// X-Deadline header is replaced, by the time left, rounded down to milliseconds.
 func TestEncodeRequest(t *testing.T) {
 	r := &Request{
 		Method: http.MethodPost,
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -13,10 +13,12 @@
 	"bankshift/balancer"
 )
 
+// TestResponseOutcomes guards against a wrong outcome for a response, whether it is
+// complete, malformed, too long or cut short by the end of the connection.
 func TestResponseOutcomes(t *testing.T) {
 	tooLong := strings.Repeat("x", maxBodySize+maxHeadSize+1)
 	for _, c := range []struct {
-		name, response string // after it the endpoint closes
+		name, response string // the endpoint closes the connection after the response
 		want           balancer.Outcome
 	}{
 		{"served", okResponse, balancer.OK},
@@ -56,8 +58,8 @@
 	}
 }
 
-// scriptedConn is a connection whose reads follow a script: piece after piece,
-// then the end.
+// scriptedConn is a connection whose reads return the given pieces one after another,
+// then the error end.
 type scriptedConn struct {
 	*net.TCPConn
 	pieces []string
@@ -75,12 +77,12 @@
 	return 0, c.end
 }
 
-// Close leaves the TCP connection open, for the next script.
+// Close leaves the TCP connection open, for the next scriptedConn.
 func (c *scriptedConn) Close() error { return nil }
 
-// TestResponseInPieces: a response is the same wherever it is cut in two; one
-// that has not come whole is passed on to nobody; and where the end of the
-// connection is the end of the response, a reset is not.
+// TestResponseInPieces guards against results that depend on how a response is split
+// into reads, and against accepting an incomplete response. A response without a
+// length ends with the connection, but not with a reset of it.
 func TestResponseInPieces(t *testing.T) {
 	p := newTestPool(startEndpoint(t, func(_ int, _ net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }))
 	backend := p.backends[endpoint]
@@ -104,7 +106,7 @@
 		"no length":         "HTTP/1.1 200 OK\r\nX-A: b\r\n\r\nhi",
 		"HTTP/1.0":          "HTTP/1.0 200 OK\r\n\r\nhi",
 	} {
-		shortest := len(response) // that is whole if the connection ends behind it
+		shortest := len(response) // shortest prefix that is a complete response if the connection ends after it
 		if name == "no length" || name == "HTTP/1.0" {
 			shortest = strings.Index(response, "\r\n\r\n") + 4
 		}
@@ -127,8 +129,9 @@
 	}
 }
 
-// TestEndlessResponses: whatever an endpoint goes on sending, fast or slowly,
-// the attempt ends without a response, and the endpoint is not read forever.
+// TestEndlessResponses guards against an attempt that never ends because the endpoint
+// goes on sending, fast or slowly. The attempt must end without a response, and the
+// connection must be closed.
 func TestEndlessResponses(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n"
 	longHeader := "X-Long: " + strings.Repeat("x", 4<<10) + "\r\n"
@@ -140,8 +143,8 @@
 		{"head", head, longHeader, 0, balancer.ServerError},
 		{"interim responses", "", "HTTP/1.1 103 Early Hints\r\n\r\n", 0, balancer.ServerError},
 		{"body with no length", head + "\r\n", longHeader, 0, balancer.ServerError},
-		{"body with no length behind a long head", head + strings.Repeat(longHeader, 5) + "\r\n", longHeader, 0, balancer.ServerError},
-		{"body with no length behind long interim responses", strings.Repeat("HTTP/1.1 103 Hi\r\n"+longHeader+"\r\n", 5) + head + "\r\n", longHeader, 0, balancer.ServerError},
+		{"body with no length after a long head", head + strings.Repeat(longHeader, 5) + "\r\n", longHeader, 0, balancer.ServerError},
+		{"body with no length after long interim responses", strings.Repeat("HTTP/1.1 103 Hi\r\n"+longHeader+"\r\n", 5) + head + "\r\n", longHeader, 0, balancer.ServerError},
 		{"chunks", head + "Transfer-Encoding: chunked\r\n\r\n", "5\r\nhello\r\n", 0, balancer.ServerError},
 		{"trailer", head + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n", longHeader, 0, balancer.ServerError},
 		{"slow head", head, "X: y\r\n", time.Millisecond, balancer.TimedOut},
