--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -15,8 +15,8 @@
 )
 
 // TestOutcomeWithoutConnection guards against wrong outcomes of attempts that got no
-// connection: ConnectFailed blames an endpoint that refuses connections; NotSent
-// blames no endpoint, as for one that is not listed.
+// connection. It must be ConnectFailed if the endpoint refuses connections, and
+// NotSent, which does not count against any endpoint, if it is not listed.
 func TestOutcomeWithoutConnection(t *testing.T) {
 	if got := attempt(t, newTestPool(refusingAddress(t)), testTimeout); got.Outcome != balancer.ConnectFailed {
 		t.Errorf("outcome %d, want ConnectFailed", got.Outcome)
@@ -199,7 +199,7 @@
 // TestEndpointResetsAfterAccept guards against reporting that a request never ran
 // although the endpoint has read its last byte. The endpoint resets the connection
 // after it has read nothing, a part or all of the request. Unless it has read all,
-// either outcome is correct.
+// both ConnectFailed and Reset are correct.
 func TestEndpointResetsAfterAccept(t *testing.T) {
 	for name, c := range map[string]struct {
 		read func(r *bufio.Reader)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -47,7 +47,7 @@
 	return c.backend.acceptsRequests()
 }
 
-// interrupt makes reads and writes of c fail, both pending and future ones.
+// interrupt makes all pending and future reads and writes of c fail.
 func (c *conn) interrupt() { c.SetDeadline(pastDeadline) }
 
 // pastDeadline is an I/O deadline in the past, so that reads and writes fail at once.
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -181,10 +181,10 @@
 	}
 }
 
-// TestPersistentDialError guards against blaming an endpoint when no endpoint can be
-// reached from this machine: the outcome must be NotSent. Only if there is no route to
-// the endpoint while a connection to another one is established, it must be
-// ConnectFailed.
+// TestPersistentDialError guards against counting a dial error against an endpoint when
+// this machine may be the cause: the outcome must be NotSent. It must be ConnectFailed
+// only if there is no route to the endpoint and a connection to another endpoint is
+// established in the meantime.
 func TestPersistentDialError(t *testing.T) {
 	for _, errno := range transientDialErrors {
 		for _, otherComesUp := range []bool{false, true} {
--- a/internal/upstream/errors_test.go
+++ b/internal/upstream/errors_test.go
@@ -13,8 +13,8 @@
 	"bankshift/balancer"
 )
 
-// TestUnsentOutcome guards against blaming an endpoint for a request that this node
-// could not or did not send. The outcome must then be NotSent, not ConnectFailed.
+// TestUnsentOutcome guards against counting it against an endpoint that this node could
+// not or did not send a request. The outcome must then be NotSent, not ConnectFailed.
 func TestUnsentOutcome(t *testing.T) {
 	running := context.Background()
 	ended, cancel := context.WithCancel(context.Background())
@@ -26,7 +26,7 @@
 		want balancer.Outcome
 	}{
 		{"refused", running, syscall.ECONNREFUSED, balancer.ConnectFailed},
-		{"never comes up", running, os.ErrDeadlineExceeded, balancer.ConnectFailed},
+		{"no connection in time", running, os.ErrDeadlineExceeded, balancer.ConnectFailed},
 		{"no descriptors", running, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}, balancer.NotSent},
 		{"the request ends first", ended, os.ErrDeadlineExceeded, balancer.NotSent},
 		{"too many connections", running, ErrTooManyConnections, balancer.NotSent},
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -69,10 +69,10 @@
 type Pool struct {
 	config Config // does not change
 
-	mu              sync.Mutex
-	connections     int                              // idle, in use or being dialled; at most MaxConnections; guarded by mu
-	lastConnectedAt time.Time                        // when a connection to any endpoint was last established; guarded by mu
-	backends        map[balancer.EndpointID]*backend // guarded by mu, as are the fields of the backends
+	mu              sync.Mutex // guards the fields below and those of the backends
+	connections     int        // idle, in use or being dialled; at most config.MaxConnections
+	lastConnectedAt time.Time  // when a connection to any endpoint was last established
+	backends        map[balancer.EndpointID]*backend
 }
 
 // backend is one incarnation of an endpoint. After a restart or a change of address
