--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestBadConfig: an invalid configuration is an error of one line that names
+// TestInvalidConfig: an invalid configuration is an error of one line that names
 // what is wrong.
-func TestBadConfig(t *testing.T) {
+func TestInvalidConfig(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{validConfig, "", "unexpected end"},
 		{validConfig, "[]", "cannot unmarshal"},
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -30,7 +30,7 @@
 		t.Helper()
 		pooled := map[string]string{}
 		for _, name := range []string{"a", "b", "c", "d"} {
-			if address, _ := dials.pooled(t, n, name, syscall.ECONNREFUSED); address != "" {
+			if address, _ := dials.poolEntry(t, n, name, syscall.ECONNREFUSED); address != "" {
 				pooled[name] = address
 			}
 		}
@@ -179,7 +179,7 @@
 	if r.status != "" {
 		fullList = append(fullList, entry(r.status, r.since))
 	}
-	n := startNodeResting(t, time.Hour, func(*balancer.Settings) {}, address) // so that each request needs a new connection
+	n := startNodeWithRestTime(t, time.Hour, func(*balancer.Settings) {}, address) // so that each request needs a new connection
 	begun, up := blockDials(n.dials)
 	send := func(id string) chan clientResponse {
 		response := make(chan clientResponse, 1)
@@ -269,9 +269,9 @@
 	return list
 }
 
-// TestLastEntryOfListHolds: a list may name an endpoint twice, in the order of
+// TestLastEntryOfListWins: a list may name an endpoint twice, in the order of
 // what has happened to it. The last entry holds, however long the list is.
-func TestLastEntryOfListHolds(t *testing.T) {
+func TestLastEntryOfListWins(t *testing.T) {
 	for _, states := range [][2]string{{"draining", "ready"}, {"ready", "draining"}, {"gone", "ready"}, {"ready", "gone"}} {
 		n := New(testConfig("127.0.0.1:1"), discardLog)
 		dials := hookDials(n, func(*upstream.Config) {})
@@ -286,7 +286,7 @@
 		n.applyEndpoints(l, balancer.FullUpdate)
 		pooled, draining := 0, 0
 		for i := range endpoints {
-			if dialed, outcome := dials.pooled(t, n, fmt.Sprint("s", i), nil); dialed != "" {
+			if dialed, outcome := dials.poolEntry(t, n, fmt.Sprint("s", i), nil); dialed != "" {
 				pooled++
 				if outcome == balancer.NotSent { // though the connection came up
 					draining++
--- a/internal/node/parse_test.go
+++ b/internal/node/parse_test.go
@@ -111,7 +111,7 @@
 func TestRequestsReadInPieces(t *testing.T) {
 	backend, executions := startCountingBackend(t)
 	// Where attempts must not be canceled, none is given up when this machine is slow for a moment.
-	n := startNodeResting(t, 0, func(s *balancer.Settings) { s.CancelAllowed = false }, backend)
+	n := startNodeWithRestTime(t, 0, func(s *balancer.Settings) { s.CancelAllowed = false }, backend)
 	for name, text := range map[string]string{
 		"plain":        plainRequests,
 		"unusual":      unusualRequests,
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -49,13 +49,13 @@
 func (n *Node) startRequest(r *request) {
 	if n.requests[r.id()] != nil {
 		// Two with the same ID would receive each other's responses.
-		r.rejectUnopened(response{status: http.StatusConflict})
+		r.rejectUntracked(response{status: http.StatusConflict})
 		return
 	}
 	r.arrival.Timeout = time.Until(r.deadline)
 	limit := n.cfg.Settings.MaxOpenRequests
 	if limit > 0 && len(n.requests) >= limit {
-		r.rejectUnopened(n.rejection(r))
+		r.rejectUntracked(n.rejection(r))
 		return
 	}
 	if !n.responsesDueBy.IsZero() && n.responsesDueBy.Before(r.deadline) {
@@ -69,8 +69,8 @@
 	n.handle(r.arrival)
 }
 
-// rejectUnopened answers a request that the balancer does not get to know of.
-func (r *request) rejectUnopened(resp response) {
+// rejectUntracked answers a request that the balancer does not get to know of.
+func (r *request) rejectUntracked(resp response) {
 	r.answered = true
 	r.response <- resp
 }
--- a/internal/node/request_test.go
+++ b/internal/node/request_test.go
@@ -13,9 +13,9 @@
 	"bankshift/balancer"
 )
 
-// TestDeadlineWatchdog: a request that the balancer has lost is answered all
+// TestWatchdogAnswersLostRequest: a request that the balancer has lost is answered all
 // the same.
-func TestDeadlineWatchdog(t *testing.T) {
+func TestWatchdogAnswersLostRequest(t *testing.T) {
 	backend, got, gone := startStallingBackend(t)
 	n := startNode(t, backend)
 	responses := make(chan clientResponse, 1)
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestSameIDTwice: two requests with the same ID must not receive each other's
+// TestDuplicateIDRejected: two requests with the same ID must not receive each other's
 // responses.
-func TestSameIDTwice(t *testing.T) {
+func TestDuplicateIDRejected(t *testing.T) {
 	release, got := make(chan struct{}), make(chan bool, 2)
 	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if readRequest(r) != nil {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -16,10 +16,10 @@
 	"time"
 )
 
-// TestShutdownWhileHeldUp: new connections arrive for up to 0.4 s after the
+// TestShutdownDuringStall: new connections arrive for up to 0.4 s after the
 // order to stop, and the node is held up for 0.15 s just then. They are
 // answered or rejected, and none is cut off.
-func TestShutdownWhileHeldUp(t *testing.T) {
+func TestShutdownDuringStall(t *testing.T) {
 	for _, longest := range []time.Duration{100 * time.Millisecond, time.Second, 10 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
 			t.Parallel()
@@ -104,10 +104,10 @@
 	}
 }
 
-// TestShutdownAmongRequests: clients go on sending, some two requests at a
+// TestShutdownUnderLoad: clients go on sending, some two requests at a
 // time, while the node shuts down. Each request is answered, or has not reached
 // a backend.
-func TestShutdownAmongRequests(t *testing.T) {
+func TestShutdownUnderLoad(t *testing.T) {
 	var mu sync.Mutex // guards the next two
 	received := map[string]bool{}
 	unanswered := []string{}
@@ -252,7 +252,7 @@
 // backend still has its listener when there is nothing left to wait for.
 func TestShutdownWaitsForListener(t *testing.T) {
 	inner := newListener(t)
-	ln := lateListener{inner, make(chan struct{}), make(chan struct{})}
+	ln := lateAcceptErrorListener{inner, make(chan struct{}), make(chan struct{})}
 	n := New(testConfig(refusingAddress(t)), discardLog)
 	n.frontend.keepServing = func(func() int) {}
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/node/testbackend_test.go
+++ b/internal/node/testbackend_test.go
@@ -62,35 +62,35 @@
 
 // startStallingBackend starts a backend that receives requests and never answers. got
 // receives the ID of each, and gone the same when its connection has ended.
-func startStallingBackend(t *testing.T) (address string, got, gone chan string) {
-	got, gone = make(chan string, 100), make(chan string, 100)
+func startStallingBackend(t *testing.T) (address string, received, disconnected chan string) {
+	received, disconnected = make(chan string, 100), make(chan string, 100)
 	return startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		req := readRequest(r)
 		if req == nil {
 			return
 		}
 		id := req.Header.Get("X-Request-Id")
-		got <- id
+		received <- id
 		r.ReadByte()
-		gone <- id
-	}), got, gone
+		disconnected <- id
+	}), received, disconnected
 }
 
 // startRecordingBackend starts a backend that answers each request. got receives the ID
 // of each, and "" when a connection has ended.
-func startRecordingBackend(t *testing.T) (address string, got chan string) {
-	got = make(chan string, 10)
+func startRecordingBackend(t *testing.T) (address string, received chan string) {
+	received = make(chan string, 10)
 	return startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			req := readRequest(r)
 			if req == nil {
-				got <- ""
+				received <- ""
 				return
 			}
-			got <- req.Header.Get("X-Request-Id")
+			received <- req.Header.Get("X-Request-Id")
 			io.WriteString(c, okResponse)
 		}
-	}), got
+	}), received
 }
 
 // refusingAddress returns an address at which nothing listens.
@@ -154,10 +154,10 @@
 	return begun, release
 }
 
-// pooled finds out by an attempt what a node's pool knows of an endpoint: the
+// poolEntry finds out by an attempt what a node's pool knows of an endpoint: the
 // address that is dialed, or "" if it does not know the endpoint, and the outcome
 // of the attempt if the dial ends with dialErr.
-func (h *dialHook) pooled(t *testing.T, n *Node, name string, dialErr error) (address string, outcome balancer.Outcome) {
+func (h *dialHook) poolEntry(t *testing.T, n *Node, name string, dialErr error) (address string, outcome balancer.Outcome) {
 	t.Helper()
 	var directory discovery.Directory // assigns the same ID as the node's, also to an endpoint that is not listed there
 	directory.Apply(discovery.List{Endpoints: []json.RawMessage{json.RawMessage(endpointJSON(name, "127.0.0.1:1", "ready"))}}, balancer.FullUpdate)
--- a/internal/node/testconn_test.go
+++ b/internal/node/testconn_test.go
@@ -21,15 +21,15 @@
 	return l.Listener.Accept()
 }
 
-// lateListener is a listener whose Accept reports its end only when it is
+// lateAcceptErrorListener is a listener whose Accept reports its end only when it is
 // released.
-type lateListener struct {
+type lateAcceptErrorListener struct {
 	net.Listener
 	closed  chan struct{} // closed when Accept has seen the end
 	release chan struct{}
 }
 
-func (l lateListener) Accept() (net.Conn, error) {
+func (l lateAcceptErrorListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		close(l.closed)
--- a/internal/node/testdiscovery_test.go
+++ b/internal/node/testdiscovery_test.go
@@ -14,20 +14,20 @@
 // startDiscovery starts a discovery with one endpoint list, which it sends to
 // clients with another version. Long polls for its version hang: watched receives a
 // value when one begins, gone when it ends.
-func startDiscovery(t *testing.T, index int, entries ...string) (address string, watched, gone chan bool) {
+func startDiscovery(t *testing.T, index int, entries ...string) (address string, pollStarted, pollEnded chan bool) {
 	t.Helper()
-	watched, gone = make(chan bool, 100), make(chan bool, 100)
+	pollStarted, pollEnded = make(chan bool, 100), make(chan bool, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("from") == fmt.Sprint(index) {
-			watched <- true
+			pollStarted <- true
 			<-r.Context().Done()
-			gone <- true
+			pollEnded <- true
 			return
 		}
 		fmt.Fprintf(w, `{"index":%d,"snapshot":true,"endpoints":[%s]}`, index, strings.Join(entries, ","))
 	}))
 	t.Cleanup(s.CloseClientConnections)
-	return s.Listener.Addr().String(), watched, gone
+	return s.Listener.Addr().String(), pollStarted, pollEnded
 }
 
 // endpointJSON returns an entry of an endpoint list.
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -59,9 +59,9 @@
 	return startNodeWithPool(t, ln, change, func(*upstream.Config) {}, backends...)
 }
 
-// startNodeResting is startNode, with a rest time of the connections to backends
+// startNodeWithRestTime is startNode, with a rest time of the connections to backends
 // and changed settings.
-func startNodeResting(t *testing.T, rest time.Duration, change func(*balancer.Settings), backends ...string) *testNode {
+func startNodeWithRestTime(t *testing.T, rest time.Duration, change func(*balancer.Settings), backends ...string) *testNode {
 	t.Helper()
 	return startNodeWithPool(t, newListener(t), func(c *Config) { change(&c.Settings) }, func(c *upstream.Config) { c.RestTime = rest }, backends...)
 }
