--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -31,7 +31,7 @@
 	case balancer.EndpointRecovered:
 		n.log.Info("endpoint recovered", "endpoint", a.Endpoint, "slow_start", a.SlowStart)
 	default:
-		n.log.Warn("unknown action", "action", action)
+		n.log.Warn("unknown balancer action", "action", action)
 	}
 }
 
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -9,26 +9,26 @@
 	"bankshift/internal/upstream"
 )
 
-// attempt is one attempt of a request, while it runs.
+// attempt is one attempt to send a request to an endpoint.
 type attempt struct {
 	request   *request
 	number    int
 	endpoint  balancer.EndpointID
 	startedAt time.Time
-	elapsed   time.Duration // when it has ended
-	sinceSent time.Duration // since its last byte was sent, when it has ended; 0: it was not sent
+	elapsed   time.Duration // from startedAt to the end; set when the attempt has ended
+	sinceSent time.Duration // from the request's last byte sent to the end; set with elapsed, 0 if it was not sent
 	result    upstream.Result
 }
 
-// startAttempt sends a request to an endpoint.
+// startAttempt sends a request to an endpoint, in a goroutine of its own.
 func (n *Node) startAttempt(send balancer.Send) {
 	r := n.requests[send.ID]
 	if r == nil {
-		n.log.Error("send for an unknown request", "id", send.ID)
+		n.log.Error("balancer ordered an attempt of an unknown request", "id", send.ID)
 		return
 	}
 	if r.ctx.Err() != nil {
-		n.abandonRequest(r) // the event of it is queued behind the one being handled
+		n.abandonRequest(r) // its RequestAbandoned is queued behind the event being handled
 	}
 	a := &attempt{request: r, number: len(r.cancelAttempts), endpoint: send.Endpoint}
 	timeLeft := time.Until(r.deadline)
@@ -56,8 +56,8 @@
 	}()
 }
 
-// rejectAttempt reports an attempt that is not made to the balancer, once the
-// event that is being handled is done.
+// rejectAttempt reports to the balancer that an attempt is not made. The report is
+// queued behind the event that is being handled.
 func (n *Node) rejectAttempt(a *attempt) {
 	n.pendingEvents = append(n.pendingEvents, balancer.AttemptEnded{
 		ID:          a.request.id(),
@@ -69,8 +69,8 @@
 }
 
 // runAttempt makes an attempt and reports its result to the loop. It runs in the
-// attempt's own goroutine. After startCtx has ended nothing is sent any more; ctx
-// ends the whole attempt.
+// attempt's own goroutine. Once startCtx has ended, the attempt does not begin to
+// send the request any more; the end of ctx aborts the whole attempt.
 func (n *Node) runAttempt(ctx, startCtx context.Context, a *attempt) {
 	a.result = n.pool.Attempt(ctx, startCtx, a.endpoint, a.request.upstream)
 	a.elapsed = time.Since(a.startedAt)
@@ -80,8 +80,8 @@
 	n.post(func() { n.finishAttempt(a) })
 }
 
-// finishAttempt takes an attempt's result. A good response goes to the client
-// before the balancer learns of it.
+// finishAttempt processes an attempt's result. A successful response is passed to
+// the client before the balancer is informed of it.
 func (n *Node) finishAttempt(a *attempt) {
 	r := a.request
 	r.runningAttempts--
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -15,21 +15,21 @@
 	"bankshift/internal/sockets"
 )
 
-// Limits of a node whose configuration states none.
+// Default limits of a node, for those that its configuration does not state.
 const (
 	defaultMemoryMB = 192
-	defaultSockets  = 1024
+	defaultSockets  = 1024 // file descriptors
 )
 
-// How a node's descriptors are divided.
+// Division of a node's file descriptors.
 const (
-	minSockets      = 64  // with fewer no node can serve
+	minSockets      = 64  // with fewer, a node cannot serve
 	reservedSockets = 48  // for discovery, the listener and the runtime
-	clientShare     = 0.5 // of the others; the rest is for endpoints
+	clientShare     = 0.5 // part of the others that is for clients' connections; the rest is for those to endpoints
 )
 
 const (
-	maxReadAttempts   = 20 // of a file, while this machine is short of descriptors or memory
+	maxReadAttempts   = 20 // of a file, while the machine is short of resources such as descriptors or memory
 	readRetryInterval = 50 * time.Millisecond
 )
 
@@ -40,8 +40,8 @@
 type ConfigError struct {
 	Key   string // such as "limits.sockets"
 	Value string // the value found, empty if there is none
-	Want  string
-	Err   error // the cause, nil if there is none
+	Want  string // a description of the valid values
+	Err   error  // the cause, nil if there is none
 }
 
 func (e *ConfigError) Error() string {
@@ -63,7 +63,7 @@
 	MemoryMB  int
 	Sockets   int // file descriptors
 	Settings  balancer.Settings
-	Known     discovery.List // the endpoints as last known
+	Known     discovery.List // the last known endpoint list, used until discovery sends one
 }
 
 // Connections returns the maximum numbers of connections from clients and to
@@ -87,8 +87,8 @@
 	return c, nil
 }
 
-// readRetrying calls read until it returns no error or one that is not a passing
-// shortage of this machine.
+// readRetrying calls read, at most maxReadAttempts times, until it returns no error
+// or one that does not come from a temporary shortage on this machine.
 func readRetrying(read func() ([]byte, error)) ([]byte, error) {
 	for attempt := 1; ; attempt++ {
 		raw, err := read()
@@ -99,7 +99,7 @@
 	}
 }
 
-// configFile is the configuration's JSON.
+// configFile is the JSON form of a Config.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -162,8 +162,8 @@
 	if err != nil {
 		return balancer.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	// The protocol on sockets has neither: a request that waits for a health check
-	// would wait in vain and then be rejected.
+	// The protocol on sockets has neither health checks nor gossip. A request that
+	// waits for a health check would never be sent, and be rejected in the end.
 	s.HealthChecksAllowed = false
 	s.GossipAllowed = false
 	return s, nil
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -7,11 +7,12 @@
 	"bankshift/internal/discovery"
 )
 
-// newDiscoveryClient returns a client of discovery at an address, which the
-// caller runs. What it reports counts for as long as it is n.discovery.
+// newDiscoveryClient returns a client of discovery at an address, which the caller
+// runs. What it reports is ignored unless it is n.discovery, the current client: a
+// reload replaces it.
 func (n *Node) newDiscoveryClient(address string) *discovery.Client {
 	n.discoveryClients++
-	jitter := rand.New(rand.NewPCG(uint64(n.cfg.Seed), n.discoveryClients)) // each client has its own
+	jitter := rand.New(rand.NewPCG(uint64(n.cfg.Seed), n.discoveryClients)) // each client has its own sequence
 	client := discovery.NewClient(address, discovery.ScheduleFor(n.cfg.Settings), jitter.Float64, n.log)
 	postIfCurrent := func(f func()) {
 		n.post(func() {
@@ -29,9 +30,10 @@
 	return client
 }
 
-// applyEndpoints takes an endpoint list: the addresses go to the connection pool,
-// the rest to the balancer. The pool learns of new endpoints before the balancer
-// can send to them, and of removed ones after it has ended its use of them.
+// applyEndpoints applies an endpoint list: the addresses go to the connection pool,
+// the rest to the balancer. New endpoints are set in the pool before the balancer
+// can send to them, and removed ones are taken out of the pool after the balancer
+// has stopped using them.
 func (n *Node) applyEndpoints(list discovery.List, kind balancer.UpdateKind) {
 	update, changes := n.directory.Apply(list, kind)
 	for _, c := range changes {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,12 +1,12 @@
-// Package node carries out the decisions of package balancer on real sockets: it
-// takes clients' requests, sends them to endpoints, follows the endpoint list and
-// answers each request once, by its deadline.
+// Package node runs the balancer on real sockets: it accepts clients' requests,
+// sends them to endpoints as package balancer decides, keeps the endpoint list up
+// to date and answers each request once, by its deadline.
 //
-// The clients' side is a listener that limits connections (Listen, acceptor,
-// connectionLimiter), connections that can be drained and watched for a client's
-// departure (clientConn), and an HTTP server (frontend). It hands requests to the
-// event loop (Node), which owns the balancer and performs its actions through
-// package upstream.
+// Clients connect through a listener that limits the number of connections
+// (Listen, acceptor, connectionLimiter). Their connections (clientConn) can be
+// drained and detect that a client has disconnected. The HTTP server (frontend)
+// parses the requests and passes them to the event loop (Node), which owns the
+// balancer and performs its actions through package upstream.
 package node
 
 import (
@@ -20,31 +20,32 @@
 	"bankshift/internal/upstream"
 )
 
-// eventQueueSize is how many posted functions wait for the loop before post blocks.
+// eventQueueSize is how many posted functions can wait for the loop before post
+// blocks.
 const eventQueueSize = 1024
 
 // Node is one load-balancing proxy node. A single goroutine, the event loop, owns
-// the balancer and the state of all requests; everything else posts functions to
+// the balancer and the state of all requests; other goroutines post functions to
 // it.
 type Node struct {
-	cfg        Config // the loop changes Discovery on a reload
+	cfg        Config // a reload changes Discovery, in the loop
 	log        *slog.Logger
 	startTime  time.Time
-	events     chan func()   // run by the loop, one at a time
-	loopEnded  chan struct{} // closed by the loop
+	events     chan func()   // posted functions; the loop runs one at a time
+	loopEnded  chan struct{} // closed when the loop has ended
 	pool       *upstream.Pool
 	frontend   *frontend
-	runContext context.Context // ends when the node has shut down; set by Run
+	runContext context.Context // canceled when the node has shut down; set by Run
 
-	// What follows belongs to the loop, from Run on.
+	// Once Run has started the loop, only the loop uses the fields below.
 
 	discovery        *discovery.Client
-	discoveryClients uint64 // made so far
+	discoveryClients uint64 // number of clients created so far; part of the next one's jitter seed
 	balancer         *balancer.Balancer
 	directory        discovery.Directory
 	requests         map[balancer.RequestID]*request
 	pendingEvents    []balancer.Event // events to be handled in order; the first is being handled
-	responsesDueBy   time.Time        // set by the order to stop; zero before
+	responsesDueBy   time.Time        // the latest deadline of all requests during a shutdown; zero before it
 }
 
 // New returns a node; Run starts it.
@@ -96,7 +97,8 @@
 	}
 }
 
-// post has f run by the loop. Once the loop has ended it does nothing.
+// post queues f to be run by the loop, and blocks while the queue is full. Once
+// the loop has ended it does nothing.
 func (n *Node) post(f func()) {
 	select {
 	case n.events <- f:
@@ -104,19 +106,20 @@
 	}
 }
 
-// now returns the balancer's time: the wall time at the start plus the time that
-// has passed since, so that it compares with the times in the endpoint list and
-// never steps back.
+// now returns the balancer's time: the wall-clock time at the node's start plus
+// the monotonic time elapsed since. It can be compared with the times in the
+// endpoint list and never goes backwards.
 func (n *Node) now() balancer.Time {
 	return time.Duration(n.startTime.UnixNano()) + time.Since(n.startTime)
 }
 
 // handle passes an event to the balancer and performs the actions that it
-// returns. Events that come up meanwhile are handled after them, in order.
+// returns. Events that are raised by these actions are queued and handled after
+// them, in order.
 func (n *Node) handle(event balancer.Event) {
 	n.pendingEvents = append(n.pendingEvents, event)
 	if len(n.pendingEvents) > 1 {
-		return // the call in progress handles it
+		return // the call that is already in progress handles it
 	}
 	for len(n.pendingEvents) > 0 {
 		for _, action := range n.balancer.Handle(n.now(), n.pendingEvents[0]) {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -2,9 +2,9 @@
 
 import "reflect"
 
-// Reload applies a configuration that was read again while the node runs: the
-// node follows the endpoint list at the new address of discovery. Everything else
-// needs a restart.
+// Reload applies a configuration that was read again while the node runs. Only the
+// address of discovery takes effect: the node gets the endpoint list from there.
+// All other changes need a restart.
 func (n *Node) Reload(cfg Config) {
 	n.post(func() { n.reload(cfg) })
 }
@@ -26,8 +26,8 @@
 	go n.discovery.Run(n.runContext)
 }
 
-// needsRestart reports whether a new configuration differs in more than the
-// address of discovery.
+// needsRestart reports whether an updated configuration has a change that takes
+// effect only after a restart. Names and known endpoints are not compared.
 func (c Config) needsRestart(updated Config) bool {
 	return updated.Listen != c.Listen ||
 		updated.Seed != c.Seed ||
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -13,8 +13,8 @@
 	// ResponseMargin is how long before the client's timeout a response is due.
 	ResponseMargin = 10 * time.Millisecond
 
-	// WatchdogDelay is how long after a request's deadline the node has the balancer
-	// end it, if it has not by itself.
+	// WatchdogDelay is how long after a request's deadline the node ends the
+	// request if the balancer has not ended it by then.
 	WatchdogDelay = 4 * time.Millisecond
 )
 
@@ -25,30 +25,32 @@
 	upstream *upstream.Request
 	deadline time.Time // when the response is due
 
-	// response takes the final response. It has room for it, and is read by the
-	// client's goroutine.
+	// response receives the final response. It is buffered, so that the loop does
+	// not block on it. The goroutine that serves the client reads it.
 	response chan response
 
-	// answered: the final response has been sent, or the client has left.
+	// answered is set when the final response has been sent on the channel
+	// response, or the client has disconnected.
 	answered bool
 
-	// ctx ends with the response, or when the client is seen to have left, which
-	// the loop may not know yet. Set before the loop gets the request.
+	// ctx is canceled when the request is answered or the client is found to have
+	// disconnected, which the loop may learn of later. It is set before the request
+	// is posted to the loop.
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	cancelAttempts  []context.CancelFunc // by the attempt's number
+	cancelAttempts  []context.CancelFunc // indexed by the attempt's number
 	runningAttempts int
-	watchdog        *time.Timer // ends the request where the balancer does not
+	watchdog        *time.Timer // ends the request if the balancer does not
 }
 
 func (r *request) id() balancer.RequestID { return r.arrival.ID }
 
-// startRequest takes a client's request and passes it to the balancer. The
+// startRequest admits a client's request and passes it to the balancer. The
 // response is sent on r.response.
 func (n *Node) startRequest(r *request) {
 	if n.requests[r.id()] != nil {
-		// Two with the same ID would receive each other's responses.
+		// Two open requests with the same ID would receive each other's responses.
 		r.rejectUntracked(response{status: http.StatusConflict})
 		return
 	}
@@ -69,13 +71,15 @@
 	n.handle(r.arrival)
 }
 
-// rejectUntracked answers a request that the balancer does not get to know of.
+// rejectUntracked answers a request that is not admitted: it is not in n.requests,
+// and the balancer is not informed of it.
 func (r *request) rejectUntracked(resp response) {
 	r.answered = true
 	r.response <- resp
 }
 
-// rejection is the response to a request that has not been sent to any endpoint.
+// rejection returns the response to a request that has not been sent to any
+// endpoint.
 func (n *Node) rejection(r *request) response {
 	return response{
 		status:     http.StatusServiceUnavailable,
@@ -84,37 +88,40 @@
 }
 
 // endOverdue ends a request whose deadline has passed without a decision of the
-// balancer. The balancer decides then, however late its timers and the outcomes of
-// attempts are; but a response in time is owed whatever it does.
+// balancer. If the request may have been sent, the balancer is asked to decide now,
+// however late its timers and the outcomes of attempts are. If it still does not,
+// the node answers by itself, as the response is due in any case.
 func (n *Node) endOverdue(r *request) {
 	if r.answered {
 		return
 	}
-	r.cancel() // from here on nothing is sent
+	r.cancel() // no attempt begins to send the request after this
 	if r.upstream.MayBeSent() {
 		n.handle(balancer.DeadlineExceeded{ID: r.id()})
 	}
 	n.endUnanswered(r)
 }
 
-// endUnanswered ends a request, if it is not answered, without the balancer.
+// endUnanswered answers a request that has no response yet, without a decision of
+// the balancer: it rejects the request if nothing of it has been sent, and else
+// responds with 504.
 func (n *Node) endUnanswered(r *request) {
 	if r.answered {
 		return
 	}
-	r.cancel() // from here on nothing is sent
+	r.cancel() // no attempt begins to send the request after this
 	last := response{status: http.StatusGatewayTimeout}
 	if !r.upstream.MayBeSent() {
 		last = n.rejection(r)
 	}
 	n.respond(r.id(), last)
 	for _, cancel := range r.cancelAttempts {
-		cancel() // a balancer that has lost the request does not cancel them
+		cancel() // the balancer does not cancel them if it has lost track of the request
 	}
 	n.handle(balancer.RequestAbandoned{ID: r.id()})
 }
 
-// abandonRequest ends a request whose client has left.
+// abandonRequest ends a request whose client has disconnected.
 func (n *Node) abandonRequest(r *request) {
 	if r.answered {
 		return
@@ -123,8 +130,8 @@
 	n.handle(balancer.RequestAbandoned{ID: r.id()})
 }
 
-// respond sends a request's final response. All responses pass here, and only
-// the first is sent.
+// respond sends a request's final response. All responses to admitted requests go
+// through it, and only the first one of a request is sent.
 func (n *Node) respond(id balancer.RequestID, resp response) {
 	r := n.requests[id]
 	if r == nil || r.answered {
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	responseWriteTimeout = 5 * time.Second        // for a whole response
-	rejectionTimeout     = 200 * time.Millisecond // for reading the rest of a rejected request
+	responseWriteTimeout = 5 * time.Second        // for writing a whole response
+	rejectionTimeout     = 200 * time.Millisecond // for reading the rest of a rejected request, or writing a rejection
 )
 
-// response is the final response to a client. With a status other than 200 its
-// body is the status's text.
+// response is the final response to a client. With a status other than 200 the
+// client receives the status's text as the body.
 type response struct {
 	status     int
-	retryAfter time.Duration // of a rejection; 0: none is advised
+	retryAfter time.Duration // sent as Retry-After; 0: the header is not sent
 	header     http.Header
 	body       []byte
 }
 
-// writeResponse writes the response to a client. An error means that the client
-// has left, and is ignored.
+// writeResponse writes the response to a client. Write errors are ignored: they
+// mean that the client has disconnected.
 func writeResponse(w http.ResponseWriter, resp response) {
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	header := w.Header()
@@ -44,9 +44,10 @@
 	w.Write(resp.body)
 }
 
-// reject answers a request that cannot be parsed and closes its connection. What
-// follows on it may belong to this request's body as the client sees it, so none
-// of it is parsed as a request, and the response does not wait for the body.
+// reject answers a request that cannot be parsed and closes its connection. The
+// bytes that follow may be part of this request's body from the client's point of
+// view, so none of them may be parsed as a request. The response does not wait for
+// the body.
 func reject(w http.ResponseWriter, r *http.Request, err error) {
 	w.Header().Set("Connection", "close")
 	if c, ok := r.Context().Value(clientConnKey{}).(*clientConn); ok {
@@ -64,30 +65,31 @@
 	http.Error(w, err.Error(), status)
 }
 
-// closeAfterResponse rejects a request that is incomplete and closes its
-// connection at once, as others wait for its slot: net/http would keep it open for
-// a while.
+// closeAfterResponse rejects an incomplete request and closes its connection at
+// once, because other connections wait for its slot. net/http would keep the
+// connection open for a while after the response.
 func closeAfterResponse(w http.ResponseWriter) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		return // the connection has ended
+		return // the connection is already closed
 	}
 	defer c.Close()
 	c.SetWriteDeadline(time.Now().Add(rejectionTimeout))
 	io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 }
 
-// hopByHopHeaders concern one connection only and are not passed on.
+// hopByHopHeaders concern a single connection, or the node alone, and are not
+// forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Expect", "Content-Length", headerLoadReport, headerNotRun,
 }
 
-// protectedHeaders are passed on even if the Connection header names them:
-// without them an endpoint could not recognize a repetition.
+// protectedHeaders are forwarded even if the Connection header names them: without
+// them an endpoint could not recognize a repeated request.
 var protectedHeaders = []string{headerRequestID, headerIdempotencyKey}
 
-// endToEndHeaders returns a copy of the headers that are passed on.
+// endToEndHeaders returns a copy of the headers that are forwarded.
 func endToEndHeaders(header http.Header) http.Header {
 	out := header.Clone()
 	for _, line := range header.Values("Connection") {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// When SIGKILL may come, from SIGTERM on: after the longest of the classes'
-// deadlines, though at most maxKillDelay, and killSlack more.
+// SIGKILL may follow SIGTERM after the longest deadline of all classes, or after
+// maxKillDelay if that is shorter, plus killSlack.
 const (
 	maxKillDelay = 3 * time.Second
 	killSlack    = 700 * time.Millisecond
 )
 
-// How the time up to SIGKILL is divided.
+// Division of the time from SIGTERM to SIGKILL.
 const (
-	lastResponseMargin = 300 * time.Millisecond // from the last response to SIGKILL: a busy node takes a while to write them
+	lastResponseMargin = 300 * time.Millisecond // from the last response, which a busy node takes a while to write, to SIGKILL
 	exitMargin         = 150 * time.Millisecond // from the node's exit to SIGKILL
-	lateConnectTime    = 450 * time.Millisecond // new connections still arrive for 0.2 to 0.4 s after SIGTERM,
-	minAcceptTime      = 600 * time.Millisecond // and are accepted also by a node that is held up for 0.15 s then
-	lastRequestsTime   = time.Second            // for the last requests, once clients are asked to close, if there is time
+	lateConnectTime    = 450 * time.Millisecond // new connections still arrive for 0.2 to 0.4 s after SIGTERM
+	minAcceptTime      = 600 * time.Millisecond // lateConnectTime plus 0.15 s for which the node may be stalled meanwhile
+	lastRequestsTime   = time.Second            // for the last requests after clients are asked to close, if there is time
 )
 
 const (
-	clientPollInterval = 50 * time.Millisecond // between checks whether all clients have left on their own
+	clientPollInterval = 50 * time.Millisecond // between checks whether all clients have closed their connections
 	drainInterval      = 10 * time.Millisecond // between two drains of the idle connections
 )
 
-// shutdownPhases is when the phases of the graceful shutdown end, counted from
-// the order to stop.
+// shutdownPhases states when the phases of the graceful shutdown end, counted from
+// the stop signal.
 type shutdownPhases struct {
 	keepServing time.Duration // connections are kept open; then clients are asked to close
 	accepted    time.Duration // new connections are accepted at least until then
@@ -36,9 +36,9 @@
 	closed      time.Duration // the remaining connections are closed
 }
 
-// newShutdownPhases fits the shutdown into the time before SIGKILL. Clients send
-// on every connection that they have up to then, so all connections have to be
-// closed before, however long their deadlines are.
+// newShutdownPhases fits the shutdown into the time before SIGKILL. Clients go on
+// sending on every connection that is open, so all connections have to be closed
+// before SIGKILL, however long the clients' deadlines are.
 func newShutdownPhases(longestDeadline time.Duration) shutdownPhases {
 	kill := min(longestDeadline, maxKillDelay) + killSlack
 	p := shutdownPhases{
@@ -50,8 +50,8 @@
 	return p
 }
 
-// waitForClients waits while the node goes on serving after the order to stop:
-// for as long as new connections arrive, and then until all clients have left or
+// waitForClients waits while the node goes on serving after the stop signal: for
+// as long as new connections may arrive, and then until no connection is open or
 // the phase is over.
 func (p shutdownPhases) waitForClients(openConnections func() int) {
 	began := time.Now()
@@ -65,11 +65,12 @@
 	}
 }
 
-// shutDown ends the server in phases. The node reports that it is not ready, and
-// goes on for as long as it can still finish what it accepts: new connections
-// arrive until the load balancer in front has noticed, and clients that keep
-// theirs may have no other node just now. Then it asks each client to close and
-// finishes the open requests. served receives the result of srv.Serve.
+// shutDown ends the server in phases. First the node reports that it is not ready,
+// but goes on serving for as long as it can still finish what it accepts: new
+// connections arrive until the load balancer in front of it has noticed, and
+// clients that keep their connections may have no other node to use at that time.
+// Then it asks each client to close its connection and finishes the open requests.
+// served receives the result of srv.Serve.
 func (f *frontend) shutDown(srv *http.Server, ln net.Listener, served <-chan error) error {
 	began := time.Now()
 	f.stopping.Store(true)
@@ -81,11 +82,11 @@
 	f.drainUntil(began.Add(f.phases.accepted))
 	ln.Close()
 	f.drainWhileOpen(closedBy)
-	f.connections.stopWaiting() // up to here the last accepted connection may wait for its slot
-	<-served                    // before it returns, Serve would close the listener again and fail
+	f.connections.stopWaiting() // until here, the connection that was accepted last may wait for a slot
+	<-served                    // before Serve returns, srv.Close would close the listener a second time and fail
 	f.drainWhileOpen(closedBy)
-	// All requests have been answered: what remains are connections on which no
-	// request was received to its end.
+	// All requests have been answered. No complete request was received on the
+	// connections that remain.
 	return srv.Close()
 }
 
@@ -97,8 +98,8 @@
 	}
 }
 
-// drainWhileOpen drains the idle connections until none is open, at most until
-// the deadline.
+// drainWhileOpen drains the idle connections until no connection is open, at most
+// until the deadline.
 func (f *frontend) drainWhileOpen(deadline time.Time) {
 	for time.Now().Before(deadline) && f.connections.openConnections() > 0 {
 		f.connections.drain(time.Now())
@@ -106,9 +107,8 @@
 	}
 }
 
-// tightenDeadlines makes dueBy the latest deadline of all requests, of those that
-// are open and of those still to arrive, as the node is about to exit. It runs in
-// the loop.
+// tightenDeadlines limits the deadlines of all requests, open ones and later ones,
+// to dueBy, because the node is about to exit. It runs in the loop.
 func (n *Node) tightenDeadlines(dueBy time.Time) {
 	n.responsesDueBy = dueBy
 	for _, r := range n.requests {
