--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -15,8 +15,8 @@
 	"bankshift/balancer"
 )
 
-// TestIncompleteResponseIsRetried: a response that breaks off in its body must
-// not reach the client. Another backend serves the request.
+// TestIncompleteResponseIsRetried guards against a response that reaches the client
+// although its body is cut off. A further attempt has to serve the request.
 func TestIncompleteResponseIsRetried(t *testing.T) {
 	var number atomic.Int32
 	serve := func(_ int, c net.Conn, r *bufio.Reader) {
@@ -35,8 +35,10 @@
 	}
 }
 
-// TestNotIdempotentIsNotResent: the request may have run before its connection
-// broke, and a rejection would tell the client that a repetition is safe.
+// TestNotIdempotentIsNotResent guards against a request that runs twice although it
+// is not idempotent: it may have run before its connection broke. The node must not
+// send it again, nor reject it, which would tell the client that a repetition is
+// safe.
 func TestNotIdempotentIsNotResent(t *testing.T) {
 	var number atomic.Int32
 	serve := func(_ int, c net.Conn, r *bufio.Reader) {
@@ -51,9 +53,9 @@
 	}
 }
 
-// TestDeadlineSentIsTimeLeft: a connection that comes up late takes from the
-// deadline that is sent with a request, which is never more than what is left
-// to the client and to the attempt.
+// TestDeadlineSentIsTimeLeft guards against a deadline sent with a request that is
+// longer than the time left to the client or to the attempt, because the connection
+// took a while to be established.
 func TestDeadlineSentIsTimeLeft(t *testing.T) {
 	const clientTimeout = 2 * testTimeout
 	requests := make(chan *http.Request, 10)
@@ -74,11 +76,11 @@
 	c := n.dial(t)
 	c.sendGet(t, "saldo", "q", strconv.FormatFloat(clientTimeout.Seconds(), 'f', 3, 64))
 	receive(t, begun, "the first connection")
-	receivedAt := time.Now() // or earlier
+	receivedAt := time.Now() // the node may have received the request earlier
 	check := func(name string, timeout time.Duration, from time.Time) {
 		t.Helper()
 		delayVisibly()
-		left := timeout - time.Since(from) // less when the first byte is sent
+		left := timeout - time.Since(from) // at most; less when the first byte is sent
 		up <- struct{}{}
 		if d := deadlineOf(t, receive(t, requests, "the attempt")); d > left {
 			t.Errorf("%s attempt: sent with a deadline of %v, and at most %v was left", name, d, left)
@@ -104,9 +106,9 @@
 	}
 }
 
-// TestClientTimeoutStartsAtArrival: a client's timeout runs while the rest of
-// its request is received, and while the request waits behind another one on
-// the same connection.
+// TestClientTimeoutStartsAtArrival guards against a client's timeout that starts too
+// late. It runs from the request's arrival, also while the rest of the request is
+// received and while the request waits behind another one on the same connection.
 func TestClientTimeoutStartsAtArrival(t *testing.T) {
 	const post = "POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: pagar\r\nX-Deadline: %v\r\nContent-Length: 4\r\n\r\n"
 	requests, release := make(chan *http.Request, 2), make(chan bool)
@@ -146,7 +148,7 @@
 		c := n.dial(t)
 		fmt.Fprintf(c, post+"body"+post+"body", "first", testTimeout.Seconds(), "second", testTimeout.Seconds())
 		check("the first", testTimeout)
-		read := time.Now() // both arrived at once
+		read := time.Now() // both requests arrived together
 		delayVisibly()
 		left := testTimeout - time.Since(read)
 		release <- true
@@ -160,14 +162,14 @@
 	})
 }
 
-// TestDeduplicationWindowEndsWhileDialing: a request with a key may be sent
-// again only while backends drop repetitions, however late its connection comes
-// up.
+// TestDeduplicationWindowEndsWhileDialing guards against a second execution of a
+// request with an idempotency key: backends drop repetitions only for a time, and
+// the connection for the repetition may be established after that time.
 func TestDeduplicationWindowEndsWhileDialing(t *testing.T) {
 	backend, got, _ := startStallingBackend(t)
 	n := startNodeWith(t, func(s *balancer.Settings) { s.HedgingAllowed, s.ConnectTimeout = true, 3*testTimeout }, backend)
 	begun, release := blockDials(n.dials)
-	release <- struct{}{} // for the first one
+	release <- struct{}{} // for the first connection
 	c := n.dial(t)
 	c.sendGet(t, "saldo", "q", "60")
 	receive(t, begun, "the first connection")
--- a/internal/node/benchmark_test.go
+++ b/internal/node/benchmark_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// BenchmarkRequest sends one request after the other on one connection, through a
-// node to a backend that answers at once.
+// BenchmarkRequest measures requests that are sent one after the other on one
+// connection, through a node to a backend that answers at once.
 func BenchmarkRequest(b *testing.B) {
 	backend := startBenchmarkBackend(b)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -18,7 +18,8 @@
 "settings":{"balancers":5,"slot_no":3,"caps":{"connect_timeout_ns":120000000,"max_attempts":4},
 "classes":[{"name":"saldo","effect":"retryable","aim_ns":250000000}],"membership_mode":"pushed"}}`
 
-// TestLoadConfig: a configuration file is read to the values in it.
+// TestLoadConfig guards against values of a configuration file that are lost or put
+// into the wrong field, and against a missing file that is not reported.
 func TestLoadConfig(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
@@ -31,16 +32,16 @@
 	if c.Name != "n3" || c.Listen != "127.0.0.1:5000" || c.Discovery != "127.0.0.1:8500" || c.Sockets != 512 || c.MemoryMB != 100 ||
 		uint64(c.Seed) != 0xfc1f30d27a5be964 || c.Known.Version != 41 || len(c.Known.Endpoints) != 1 ||
 		c.Settings.NodeIndex != 3 || c.Settings.ConnectTimeout != 120*time.Millisecond || c.Settings.Classes[0].Name != "saldo" {
-		t.Errorf("%+v", c)
+		t.Errorf("wrong values in %+v", c)
 	}
 	if _, err := LoadConfig(path + "x"); err == nil {
-		t.Error("a missing file is no error")
+		t.Error("no error for a missing file")
 	}
 }
 
-// TestNoHealthChecksOnSockets: settings written for the simulator may allow
-// what the protocol on sockets does not have. A health check would hold each
-// request and reject it.
+// TestNoHealthChecksOnSockets guards against requests that wait for a health check
+// and are rejected in the end: settings written for the simulator may allow health
+// checks and gossip, which the protocol on sockets does not have.
 func TestNoHealthChecksOnSockets(t *testing.T) {
 	c, err := ParseConfig([]byte(strings.Replace(validConfig, `"caps":{`, `"report":{"how":"probe","fields":["active"]},"caps":{"probes":true,"peers":true,`, 1)))
 	if err != nil {
@@ -57,8 +58,8 @@
 	}
 }
 
-// TestInvalidConfig: an invalid configuration is an error of one line that names
-// what is wrong.
+// TestInvalidConfig guards against an invalid configuration that is accepted, or
+// reported without naming what is wrong or in more than one line.
 func TestInvalidConfig(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{validConfig, "", "unexpected end"},
@@ -78,8 +79,9 @@
 	}
 }
 
-// TestConfigReadRetries: a shortage of descriptors is waited out; a missing
-// file is reported at once.
+// TestConfigReadRetries guards against a node that fails to start because of a
+// temporary shortage of descriptors, and against retries for a missing file, which
+// has to be reported at once.
 func TestConfigReadRetries(t *testing.T) {
 	for _, c := range []struct {
 		err   error
@@ -99,8 +101,8 @@
 	}
 }
 
-// TestConfigErrorNamesKey: an invalid value is reported with its key and what is
-// wanted.
+// TestConfigErrorNamesKey guards against an error for an invalid value that lacks
+// the key, the value or what is wanted.
 func TestConfigErrorNamesKey(t *testing.T) {
 	for _, c := range []struct{ old, new, key, value string }{
 		{`"127.0.0.1:5000"`, `"127.0.0.1"`, "listen", "127.0.0.1"},
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -18,8 +18,8 @@
 	"bankshift/internal/upstream"
 )
 
-// TestApplyEndpointsSetsAddresses: each kind of update reaches the pool and the
-// readiness.
+// TestApplyEndpointsSetsAddresses guards against an endpoint list that does not
+// update the pool's addresses or the node's readiness, for each kind of update.
 func TestApplyEndpointsSetsAddresses(t *testing.T) {
 	n := New(testConfig("127.0.0.1:1"), discardLog)
 	dials := hookDials(n, func(*upstream.Config) {})
@@ -43,7 +43,7 @@
 			}
 		}
 		if n.frontend.ready.Load() != (len(want) > 0) {
-			t.Errorf("%s: ready is wrong", when)
+			t.Errorf("%s: ready is %v with %d endpoints", when, n.frontend.ready.Load(), len(want))
 		}
 	}
 	check("at the start", nil)
@@ -57,10 +57,11 @@
 	check("empty", nil)
 }
 
-// TestPollOnDemandHangsAfterFailure: where the endpoint list is polled on
-// demand, the poll after a failed one may hang through the end of an outage, so
-// it is no long poll: what discovery has when it returns is known within 6 s
-// less the drain grace.
+// TestPollOnDemandHangsAfterFailure guards against a node that learns of changes too
+// late after an outage of discovery. Where the endpoint list is polled on demand,
+// the poll after a failed one may hang beyond the end of the outage, so it must not
+// be a long poll: the node has to know the list within 6 s less the drain grace of
+// discovery's return.
 func TestPollOnDemandHangsAfterFailure(t *testing.T) {
 	hung, broken := make(chan bool, 1), make(chan bool, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -69,14 +70,14 @@
 			return
 		}
 		select {
-		case broken <- true: // the first long poll
+		case broken <- true: // the first long poll fails
 			panic(http.ErrAbortHandler)
 		default:
 		}
 		select {
 		case hung <- true:
 			<-r.Context().Done()
-		default: // discovery is back
+		default: // discovery works again
 			fmt.Fprintf(w, `{"index":8,"snapshot":false,"endpoints":[%s]}`, endpointJSON("b", "127.0.0.1:1", "ready"))
 		}
 	}))
@@ -93,8 +94,9 @@
 	}
 }
 
-// TestPollsOnDemandAreRefused: discovery refuses connections until the pauses
-// between polls have grown long, and returns.
+// TestPollsOnDemandAreRefused guards against a node that learns of changes too late
+// after discovery has refused connections for a while, because the pauses between
+// its polls have grown too long.
 func TestPollsOnDemandAreRefused(t *testing.T) {
 	address, listen := boundPort(t)
 	cfg := testConfig(address)
@@ -102,7 +104,7 @@
 	cfg.Known = discovery.List{Version: 3, Endpoints: []json.RawMessage{json.RawMessage(endpointJSON("a", "127.0.0.1:1", "ready"))}}
 	n := startNodeFromConfig(t, cfg)
 	n.awaitEndpoints(t, "[a]")
-	time.Sleep(3 * time.Second) // an outage; the test holds for one of any length
+	time.Sleep(3 * time.Second) // the outage; the limit below holds for an outage of any length
 	back := time.Now()
 	go http.Serve(listen(), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("from") == "" {
@@ -117,8 +119,9 @@
 	}
 }
 
-// TestNewProcessFetchesFullList: the version of the endpoint list that a node
-// is started with may be that of another discovery, where it means nothing.
+// TestNewProcessFetchesFullList guards against a new node that asks only for changes
+// since the version of the endpoint list in its configuration: that version may come
+// from another instance of discovery and mean nothing to this one.
 func TestNewProcessFetchesFullList(t *testing.T) {
 	first := make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -138,24 +141,27 @@
 	}
 }
 
-// removal is how a full list removes an endpoint.
+// removal is a way in which a full list removes an endpoint.
 type removal struct {
 	name   string
-	moved  bool   // discovery moves
+	moved  bool   // the list comes from a new discovery after a reload
 	drains bool   // the endpoint was announced as draining before
-	status string // of the endpoint in the full list; empty: it is left out
-	since  int    // its start time there
+	status string // of the endpoint in the full list; empty: the list leaves it out
+	since  int    // start time of the endpoint in the full list, Unix time in ms
 }
 
-// TestFullListRemovesEndpoint: a full list, after a reload or from the poll
-// that goes on, leaves out an endpoint that still answers, or names a new
-// process of it. Its idle connection is closed at once, nothing begins on it,
-// not even what is being dialed, and the requests it has are served to the end.
+// TestFullListRemovesEndpoint guards against requests that are sent to an endpoint
+// after a full list has removed it, and against open requests that are cut off by
+// the removal. The list comes after a reload or in the current poll. It leaves out an
+// endpoint that still answers, names it as draining, or names a new process of it.
+// The endpoint's idle connection has to be closed at once, no request may be sent to
+// it any more, not even one whose connection is being dialed, and its open requests
+// have to be served to the end.
 func TestFullListRemovesEndpoint(t *testing.T) {
 	for _, r := range []removal{
 		{name: "left out after a reload", moved: true},
 		{name: "drained, then left out after a reload", moved: true, drains: true},
-		{name: "left out by the poll that goes on"},
+		{name: "left out by the current poll"},
 		{name: "drains after a reload", moved: true, status: "draining"},
 		{name: "restarted", status: "ready", since: 5},
 	} {
@@ -179,7 +185,8 @@
 	if r.status != "" {
 		fullList = append(fullList, entry(r.status, r.since))
 	}
-	n := startNodeWithRestTime(t, time.Hour, func(*balancer.Settings) {}, address) // so that each request needs a new connection
+	// With this rest time each request needs a new connection.
+	n := startNodeWithRestTime(t, time.Hour, func(*balancer.Settings) {}, address)
 	begun, up := blockDials(n.dials)
 	send := func(id string) chan clientResponse {
 		response := make(chan clientResponse, 1)
@@ -206,7 +213,7 @@
 	expect("1 ends")
 	close(up)
 	expect("2 ends")
-	if resp := receive(t, dialed, "a response"); resp.status != 200 || receive(t, got, "it elsewhere") != "dialed" {
+	if resp := receive(t, dialed, "a response"); resp.status != 200 || receive(t, got, "the request on the other backend") != "dialed" {
 		t.Errorf("the request that was being dialed is answered %d", resp.status)
 	}
 	close(release)
@@ -219,9 +226,10 @@
 	}
 }
 
-// startReportingBackend starts a backend that answers each request, the one with
-// the ID "open" when release is closed. events receives the number of a connection
-// with the ID of each request, and with "ends" at its end.
+// startReportingBackend starts a backend that answers each request, but the one with
+// the ID "open" only when release is closed. For each request, events receives the
+// connection's number and the request's ID, such as "0 open"; at the end of a
+// connection it receives the number and "ends".
 func startReportingBackend(t *testing.T) (address string, events chan string, release chan bool) {
 	t.Helper()
 	events = make(chan string, 20)
@@ -244,23 +252,23 @@
 	return address, events, release
 }
 
-// postEndpoints has the loop apply an endpoint list.
+// postEndpoints posts an endpoint list to the loop, which applies it.
 func (n *testNode) postEndpoints(kind balancer.UpdateKind, entries ...string) {
 	n.post(func() { n.applyEndpoints(listOf(kind, entries...), kind) })
 }
 
-// moveDiscovery reloads the node's configuration with a new discovery and waits
-// until its list is known.
+// moveDiscovery reloads the node's configuration with the address of a new discovery
+// and waits until the node knows its list.
 func (n *testNode) moveDiscovery(t *testing.T, entries []string) {
 	t.Helper()
 	address, watched, _ := startDiscovery(t, 3, entries...)
 	cfg := n.cfg
 	cfg.Discovery = address
 	n.Reload(cfg)
-	receive(t, watched, "the long poll there") // it begins after the list is known
+	receive(t, watched, "the long poll there") // begins when the node knows the list
 }
 
-// listOf returns an endpoint list with these entries, in JSON.
+// listOf returns an endpoint list with these entries, each of them in JSON.
 func listOf(kind balancer.UpdateKind, entries ...string) discovery.List {
 	list := discovery.List{Version: 1, Snapshot: kind != balancer.IncrementalUpdate}
 	for _, entry := range entries {
@@ -269,8 +277,9 @@
 	return list
 }
 
-// TestLastEntryOfListWins: a list may name an endpoint twice, in the order of
-// what has happened to it. The last entry holds, however long the list is.
+// TestLastEntryOfListWins guards against the use of an outdated entry: a list may
+// name an endpoint twice, in the order of its changes, so that the last entry has to
+// win, however long the list is.
 func TestLastEntryOfListWins(t *testing.T) {
 	for _, states := range [][2]string{{"draining", "ready"}, {"ready", "draining"}, {"gone", "ready"}, {"ready", "gone"}} {
 		n := New(testConfig("127.0.0.1:1"), discardLog)
@@ -288,7 +297,7 @@
 		for i := range endpoints {
 			if dialed, outcome := dials.poolEntry(t, n, fmt.Sprint("s", i), nil); dialed != "" {
 				pooled++
-				if outcome == balancer.NotSent { // though the connection came up
+				if outcome == balancer.NotSent { // although the connection was established
 					draining++
 				}
 			}
@@ -301,7 +310,7 @@
 			wantDraining = endpoints
 		}
 		if pooled != wantListed || n.pool.Len() != wantListed || n.directory.Len() != wantListed || draining != wantDraining {
-			t.Errorf("%v: %d in the pool, %d of them listed, %d draining; want %d and %d", states, n.pool.Len(), pooled, draining, wantListed, wantDraining)
+			t.Errorf("%v: %d in the pool, %d of them dialed, %d draining; want %d and %d draining", states, n.pool.Len(), pooled, draining, wantListed, wantDraining)
 		}
 	}
 }
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// testTimeout limits what a test waits for; a passing test takes far less.
+// testTimeout limits each wait of a test; a passing test waits far less.
 const testTimeout = 30 * time.Second
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// receive returns the next value of a channel.
+// receive returns the next value of a channel. what names the value in the failure
+// if none comes within testTimeout.
 func receive[T any](t *testing.T, c <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(testTimeout):
-		t.Fatal("waited in vain for " + what)
+		t.Fatal("timed out waiting for " + what)
 	}
 	return v
 }
 
-// waitUntil waits for a condition that no event announces.
+// waitUntil polls until holds returns true. what names the condition in the failure.
 func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for until := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("waited in vain for " + what)
+			t.Fatal("timed out waiting for " + what)
 		}
 	}
 }
 
-// delayVisibly lets so much time pass that it shows in the deadline sent to a
-// backend.
+// delayVisibly waits for long enough that the deadline sent to a backend shows it.
 func delayVisibly() { time.Sleep(60 * time.Millisecond) }
 
 func isTimeout(err error) bool {
@@ -43,8 +43,8 @@
 	return ok && netErr.Timeout()
 }
 
-// watchStalls measures the longest time for which this process, node and client
-// alike, was kept from running: a test's measurements are late by that.
+// watchStalls measures the longest time for which this process was not scheduled. It
+// contains the node and the client, so a test's measurements can be late by that.
 func watchStalls(t *testing.T) (longest func() time.Duration) {
 	const step = 5 * time.Millisecond
 	var longestStall atomic.Int64
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestBalancerTimeIsWallTime: the balancer's time starts as the wall time.
+// TestBalancerTimeIsWallTime guards against a balancer's time that does not start
+// at the wall-clock time: it is compared with the times in the endpoint list.
 func TestBalancerTimeIsWallTime(t *testing.T) {
 	n := New(testConfig("127.0.0.1:1"), discardLog)
 	before := time.Now().UnixMilli()
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -6,9 +6,10 @@
 	"bankshift/internal/discovery"
 )
 
-// TestReloadMovesDiscovery: the poll of the old discovery ends, and the list at
-// the new address is fetched in full though its versions are lower. What comes
-// late from the old one does not count.
+// TestReloadMovesDiscovery guards against a node that still uses the old discovery
+// after a reload. The poll of the old one has to end, the list at the new address has
+// to be fetched in full although its versions are lower, and an update that comes
+// late from the old one has to be ignored.
 func TestReloadMovesDiscovery(t *testing.T) {
 	n := startNode(t, refusingAddress(t))
 	first, firstWatched, firstGone := startDiscovery(t, 9, endpointJSON("a", "127.0.0.1:1", "ready"))
@@ -17,7 +18,7 @@
 	cfg.Discovery = first
 	n.Reload(cfg)
 	n.awaitEndpoints(t, "[a]")
-	receive(t, firstWatched, "the old long poll") // it begins after the list is known
+	receive(t, firstWatched, "the old long poll") // begins when the node knows the list
 	var late *discovery.Client
 	n.post(func() { late = n.discovery })
 	cfg.Discovery = second
@@ -26,6 +27,6 @@
 	n.awaitEndpoints(t, "[b]")
 	late.OnUpdate(discovery.List{Version: 10, Snapshot: true})
 	n.awaitEndpoints(t, "[b]")
-	n.Reload(cfg) // the same again changes nothing
+	n.Reload(cfg) // a reload without a change has no effect
 	n.awaitEndpoints(t, "[b]")
 }
--- a/internal/node/request_test.go
+++ b/internal/node/request_test.go
@@ -13,8 +13,9 @@
 	"bankshift/balancer"
 )
 
-// TestWatchdogAnswersLostRequest: a request that the balancer has lost is answered all
-// the same.
+// TestWatchdogAnswersLostRequest guards against a client that never receives a
+// response, because the balancer has lost track of its request. The test replaces
+// the balancer by one that does not know the request.
 func TestWatchdogAnswersLostRequest(t *testing.T) {
 	backend, got, gone := startStallingBackend(t)
 	n := startNode(t, backend)
@@ -31,8 +32,10 @@
 	receive(t, gone, "the attempt's end")
 }
 
-// TestWatchdogAsksBalancer: the watchdog comes before the balancer has given up by
-// itself. The answer is the balancer's all the same.
+// TestWatchdogAsksBalancer guards against a wrong status when the watchdog fires
+// before the balancer has given the request up by itself: the balancer still has to
+// choose the response, a 503 with Retry-After if the client may repeat the request
+// and a 502 if not.
 func TestWatchdogAsksBalancer(t *testing.T) {
 	for class, want := range map[string]int{"saldo": http.StatusServiceUnavailable, "pagar": http.StatusBadGateway} {
 		t.Run(class, func(t *testing.T) {
@@ -52,8 +55,8 @@
 	}
 }
 
-// TestAnsweredByDeadline: a request whose backend does not answer fails at its
-// deadline.
+// TestAnsweredByDeadline guards against a request that outlasts its deadline, or is
+// failed long before it, because its backend does not answer.
 func TestAnsweredByDeadline(t *testing.T) {
 	backend, _, gone := startStallingBackend(t)
 	n := startNode(t, backend)
@@ -65,8 +68,8 @@
 	receive(t, gone, "the attempt's end")
 }
 
-// TestRejectedAtOnce: a request that no backend can take is rejected long
-// before its deadline, with a time to retry after.
+// TestRejectedAtOnce guards against a request that waits for its deadline although
+// no backend accepts connections: it has to be rejected at once, with a Retry-After.
 func TestRejectedAtOnce(t *testing.T) {
 	n := startNode(t, refusingAddress(t))
 	began := time.Now()
@@ -79,8 +82,8 @@
 	}
 }
 
-// TestDuplicateIDRejected: two requests with the same ID must not receive each other's
-// responses.
+// TestDuplicateIDRejected guards against two open requests with the same ID that
+// receive each other's responses: the second one has to be rejected.
 func TestDuplicateIDRejected(t *testing.T) {
 	release, got := make(chan struct{}), make(chan bool, 2)
 	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -102,9 +105,9 @@
 	}
 }
 
-// TestRejectedAtMaxOpenRequests: a request beyond the open ones that the
-// settings allow is rejected at once, with the time to retry after if clients
-// may be told one.
+// TestRejectedAtMaxOpenRequests guards against a node that holds more open requests
+// than the settings allow. A further request has to be rejected at once, with a
+// Retry-After only if the settings allow one.
 func TestRejectedAtMaxOpenRequests(t *testing.T) {
 	for _, retryAfterAllowed := range []bool{true, false} {
 		backend, got, _ := startStallingBackend(t)
--- a/internal/node/response_test.go
+++ b/internal/node/response_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// TestLargestBodies: a body of 64 KiB passes, in a request and in a response of
-// any form, however it is cut.
+// TestLargestBodies guards against a body of 64 KiB, the maximum, that is rejected
+// or truncated, in a request or in a response with any framing and chunk size.
 func TestLargestBodies(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", maxBodyBytes/16)
 	chunked := func(size int) string {
@@ -48,7 +48,7 @@
 				t.Errorf("status %d with %d bytes, want 200 and %d", a.status, len(a.body), len(body))
 			}
 			if got := receive(t, received, "the request"); got != len(body) {
-				t.Errorf("%d bytes came to the backend, want %d", got, len(body))
+				t.Errorf("the backend received %d bytes, want %d", got, len(body))
 			}
 		})
 	}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -15,7 +15,7 @@
 
 // Division of the time from SIGTERM to SIGKILL.
 const (
-	lastResponseMargin = 300 * time.Millisecond // from the last response, which a busy node takes a while to write, to SIGKILL
+	lastResponseMargin = 300 * time.Millisecond // from the last response to SIGKILL; a busy node takes a while to write it
 	exitMargin         = 150 * time.Millisecond // from the node's exit to SIGKILL
 	lateConnectTime    = 450 * time.Millisecond // new connections still arrive for 0.2 to 0.4 s after SIGTERM
 	minAcceptTime      = 600 * time.Millisecond // lateConnectTime plus 0.15 s for which the node may be stalled meanwhile
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -16,9 +16,10 @@
 	"time"
 )
 
-// TestShutdownDuringStall: new connections arrive for up to 0.4 s after the
-// order to stop, and the node is held up for 0.15 s just then. They are
-// answered or rejected, and none is cut off.
+// TestShutdownDuringStall guards against connections that are cut off without a
+// response during a shutdown. New connections arrive for up to 0.4 s after the stop
+// signal, and the node is stalled for 0.15 s at that time. All of them have to be
+// answered or rejected.
 func TestShutdownDuringStall(t *testing.T) {
 	for _, longest := range []time.Duration{100 * time.Millisecond, time.Second, 10 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
@@ -43,7 +44,7 @@
 			stopped.Store(&at)
 			n.stop()
 			time.Sleep(385 * time.Millisecond)
-			n.dial(t) // accepted by the Accept that is under way; the next one is held up
+			n.dial(t) // accepted by the pending Accept; the next Accept is delayed
 			time.Sleep(5 * time.Millisecond)
 			var clients []testClient
 			for i := range 3 {
@@ -66,8 +67,9 @@
 	}
 }
 
-// TestShutdownAnswersIncompleteRequest: the shutdown closes an idle connection.
-// A request that has begun to arrive is answered.
+// TestShutdownAnswersIncompleteRequest guards against a shutdown that cuts off a
+// request of which a part has arrived, while it closes the idle connections. The
+// request has to be answered.
 func TestShutdownAnswersIncompleteRequest(t *testing.T) {
 	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
@@ -104,11 +106,11 @@
 	}
 }
 
-// TestShutdownUnderLoad: clients go on sending, some two requests at a
-// time, while the node shuts down. Each request is answered, or has not reached
-// a backend.
+// TestShutdownUnderLoad guards against requests that a backend has received and that
+// the shutdown leaves without a response. Clients go on sending while the node shuts
+// down, some of them two requests at a time.
 func TestShutdownUnderLoad(t *testing.T) {
-	var mu sync.Mutex // guards the next two
+	var mu sync.Mutex // guards received and unanswered
 	received := map[string]bool{}
 	unanswered := []string{}
 	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -137,7 +139,7 @@
 			defer mu.Unlock()
 			unanswered = append(unanswered, open...)
 			if isTimeout(err) {
-				t.Errorf("client %d gets neither a response nor a close", i)
+				t.Errorf("client %d receives neither a response nor the connection's end", i)
 			}
 		}()
 	}
@@ -150,14 +152,14 @@
 	clients.Wait()
 	for _, id := range unanswered {
 		if received[id] {
-			t.Errorf("request %s was sent and has no response", id)
+			t.Errorf("request %s was sent to the backend and has no response", id)
 		}
 	}
 }
 
-// sendUntilClosed sends requests, so many at a time, until reading a response
-// fails. It calls served after each response, and returns the IDs of the requests
-// without a response, and the error.
+// sendUntilClosed sends requests, atATime of them in one write, until reading a
+// response fails. It calls served after each response, and returns the IDs of the
+// requests without a response, and the error.
 func (c testClient) sendUntilClosed(name string, atATime int, served func()) (open []string, err error) {
 	for k := 0; ; k++ {
 		if len(open) == 0 {
@@ -180,9 +182,10 @@
 	}
 }
 
-// TestShutdownRejectsUnsentRequest: a request whose connection is still coming
-// up when all responses are due has not been sent, so its client may send it
-// again.
+// TestShutdownRejectsUnsentRequest guards against a shutdown that fails a request
+// which has not been sent, because its connection is still being established when
+// all responses are due. The request has to be rejected, so that its client may send
+// it again.
 func TestShutdownRejectsUnsentRequest(t *testing.T) {
 	address, got := startRecordingBackend(t)
 	n := startNode(t, address)
@@ -205,9 +208,10 @@
 	}
 }
 
-// TestShutdownPhasesEndBeforeKill: SIGKILL may come as soon as the longest
-// deadline, or 3 s, and 0.7 s more have passed, and new connections arrive for
-// up to 0.4 s.
+// TestShutdownPhasesEndBeforeKill guards against a node that is killed before it has
+// shut down, or that asks clients to close too early. SIGKILL may come 0.7 s after
+// the longest deadline, or after 3 s and 0.7 s if that is earlier. New connections
+// arrive for up to 0.4 s after the stop signal.
 func TestShutdownPhasesEndBeforeKill(t *testing.T) {
 	for _, longest := range []time.Duration{0, 50 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond,
 		3 * time.Second, 4096 * time.Millisecond, time.Minute} {
@@ -217,7 +221,7 @@
 			t.Errorf("longest deadline %v: %+v, want one after the other and all before %v", longest, p, kill)
 		}
 		if longest >= 50*time.Millisecond && p.keepServing <= 400*time.Millisecond {
-			t.Errorf("longest deadline %v: clients are asked to close after %v, while new ones arrive", longest, p.keepServing)
+			t.Errorf("longest deadline %v: clients are asked to close after %v, while new connections arrive", longest, p.keepServing)
 		}
 		if later := kill - p.answered; later < 200*time.Millisecond || later > 400*time.Millisecond {
 			t.Errorf("longest deadline %v: the last responses are due %v before the kill", longest, later)
@@ -225,8 +229,9 @@
 	}
 }
 
-// TestShutdownAnswersOpenRequests: a request that is open at the order to stop,
-// or arrives after it, may have a deadline past the node's end.
+// TestShutdownAnswersOpenRequests guards against requests that are left without a
+// response because their deadline lies after the node's exit: one that is open at
+// the stop signal, and one that arrives after it.
 func TestShutdownAnswersOpenRequests(t *testing.T) {
 	backend, got, _ := startStallingBackend(t)
 	n := startNode(t, backend)
@@ -248,8 +253,9 @@
 	}
 }
 
-// TestShutdownWaitsForListener: the node ends without an error, though the HTTP
-// backend still has its listener when there is nothing left to wait for.
+// TestShutdownWaitsForListener guards against a shutdown that ends with an error
+// because the HTTP server's Accept has not returned yet when everything else is
+// done: the server would then close the listener a second time.
 func TestShutdownWaitsForListener(t *testing.T) {
 	inner := newListener(t)
 	ln := lateAcceptErrorListener{inner, make(chan struct{}), make(chan struct{})}
@@ -260,7 +266,7 @@
 	go func() { ended <- n.Run(ctx, ln) }()
 	resp, err := http.Get("http://" + inner.Addr().String() + "/health/live")
 	if err != nil {
-		t.Fatal(err) // it does not serve
+		t.Fatal(err) // the node does not serve
 	}
 	resp.Body.Close()
 	http.DefaultClient.CloseIdleConnections()
@@ -268,7 +274,7 @@
 	receive(t, ln.closed, "the listener's end")
 	select {
 	case err := <-ended:
-		t.Errorf("the node ends with %v", err)
+		t.Errorf("the node ends before its Accept has returned, with %v", err)
 	case <-time.After(100 * time.Millisecond): // a node that does not wait would have ended by now
 	}
 	close(ln.release)
@@ -277,8 +283,9 @@
 	}
 }
 
-// TestShutdownFinishesRequests: after SIGTERM new connections still arrive for
-// a while. They and the open requests are answered, and asked to close.
+// TestShutdownFinishesRequests guards against requests that fail because the node
+// shuts down: open ones, and those on new connections, which still arrive for a while
+// after SIGTERM. All have to be answered.
 func TestShutdownFinishesRequests(t *testing.T) {
 	release, got := make(chan struct{}), make(chan bool, 2)
 	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -312,13 +319,13 @@
 	}
 	if c, err := net.Dial("tcp", n.address); err == nil {
 		c.Close()
-		t.Error("it still listens")
+		t.Error("the node still listens on its port")
 	}
 }
 
-// TestShutdownKeepsServing: clients with connections may have no other node
-// just now, so a node that was ordered to stop serves them until its phase is
-// over.
+// TestShutdownKeepsServing guards against a node that asks clients to close too
+// early. Clients with connections may have no other node at that time, so a node
+// serves them after the stop signal until that phase of the shutdown is over.
 func TestShutdownKeepsServing(t *testing.T) {
 	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
@@ -341,7 +348,7 @@
 	}
 	serve("before")
 	n.stop()
-	waitUntil(t, "the order to stop", n.frontend.stopping.Load)
+	waitUntil(t, "the stop signal to be handled", n.frontend.stopping.Load)
 	if resp := serve("after"); resp.Close {
 		t.Error("the client is asked to close while the node can still serve it")
 	}
--- a/internal/node/testbackend_test.go
+++ b/internal/node/testbackend_test.go
@@ -20,8 +20,8 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: inflight=7,queue=2\r\n\r\nhi"
 
-// startBackend runs a backend on a loopback port. script serves each connection,
-// which are numbered from 0.
+// startBackend runs a backend on a loopback port. script serves each connection and
+// receives its number, counted from 0.
 func startBackend(t *testing.T, script func(number int, c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,7 +35,7 @@
 			if err != nil {
 				return
 			}
-			c.SetDeadline(time.Now().Add(3 * testTimeout)) // a test that waits for the other side fails first
+			c.SetDeadline(time.Now().Add(3 * testTimeout)) // the test's own wait times out before this
 			go func() {
 				defer c.Close()
 				script(i, c, bufio.NewReader(c))
@@ -45,7 +45,7 @@
 	return ln.Addr().String()
 }
 
-// startOKBackend starts a backend that answers each request and reports it.
+// startOKBackend starts a backend that answers each request and sends it on requests.
 func startOKBackend(t *testing.T) (address string, requests chan *http.Request) {
 	requests = make(chan *http.Request, 1000)
 	return startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -60,8 +60,9 @@
 	}), requests
 }
 
-// startStallingBackend starts a backend that receives requests and never answers. got
-// receives the ID of each, and gone the same when its connection has ended.
+// startStallingBackend starts a backend that receives requests and never answers. The
+// ID of each request is sent on received, and on disconnected when the request's
+// connection has ended.
 func startStallingBackend(t *testing.T) (address string, received, disconnected chan string) {
 	received, disconnected = make(chan string, 100), make(chan string, 100)
 	return startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -76,8 +77,8 @@
 	}), received, disconnected
 }
 
-// startRecordingBackend starts a backend that answers each request. got receives the ID
-// of each, and "" when a connection has ended.
+// startRecordingBackend starts a backend that answers each request. It sends the ID of
+// each request on received, and "" when a connection has ended.
 func startRecordingBackend(t *testing.T) (address string, received chan string) {
 	received = make(chan string, 10)
 	return startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -104,7 +105,7 @@
 	return ln.Addr().String()
 }
 
-// readRequest reads a request with its body. It returns nil if the connection ends.
+// readRequest reads a request with its body. It returns nil if no request can be read.
 func readRequest(r *bufio.Reader) *http.Request {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -124,8 +125,8 @@
 	return deadline
 }
 
-// dialHook is a function that a node's pool calls before each connect. A test can
-// set it while the node runs. An error fails the dial.
+// dialHook holds a function that a node's pool calls before each connect. A test can
+// set it while the node runs. If the function returns an error, the dial fails.
 type dialHook struct {
 	hook atomic.Pointer[func(ctx context.Context, address string) error]
 }
@@ -139,8 +140,8 @@
 	return nil
 }
 
-// blockDials makes a pool's connects wait. begun receives a value when one begins,
-// and it goes on when release has a value or is closed.
+// blockDials blocks each connect of a pool until release has a value or is closed.
+// begun receives a value when a connect begins.
 func blockDials(h *dialHook) (begun chan bool, release chan struct{}) {
 	begun, release = make(chan bool, 10), make(chan struct{}, 1)
 	h.set(func(ctx context.Context, _ string) error {
@@ -154,12 +155,12 @@
 	return begun, release
 }
 
-// poolEntry finds out by an attempt what a node's pool knows of an endpoint: the
-// address that is dialed, or "" if it does not know the endpoint, and the outcome
-// of the attempt if the dial ends with dialErr.
+// poolEntry makes an attempt, whose dial ends with dialErr, to find out what a node's
+// pool knows of an endpoint. It returns the address that was dialed, "" if the pool
+// does not know the endpoint, and the outcome of the attempt.
 func (h *dialHook) poolEntry(t *testing.T, n *Node, name string, dialErr error) (address string, outcome balancer.Outcome) {
 	t.Helper()
-	var directory discovery.Directory // assigns the same ID as the node's, also to an endpoint that is not listed there
+	var directory discovery.Directory // assigns the same IDs as the node's, also to endpoints that are not listed there
 	directory.Apply(discovery.List{Endpoints: []json.RawMessage{json.RawMessage(endpointJSON(name, "127.0.0.1:1", "ready"))}}, balancer.FullUpdate)
 	id, known := directory.ID(name)
 	if nodeID, listed := n.directory.ID(name); !known || listed && nodeID != id {
@@ -180,7 +181,7 @@
 	return address, outcome
 }
 
-// getRequest returns a request for an attempt.
+// getRequest returns a GET request for an attempt.
 func getRequest(path string) *upstream.Request {
 	return &upstream.Request{Method: http.MethodGet, URL: &url.URL{Path: path}, Host: "app.svc", Header: http.Header{"X-Request-Id": {"q"}}}
 }
--- a/internal/node/testclient_test.go
+++ b/internal/node/testclient_test.go
@@ -11,8 +11,7 @@
 	"time"
 )
 
-// request returns a request to the node, without those of the headers that are
-// empty.
+// request returns a request to the node. A header whose value is empty is left out.
 func (n *testNode) request(t *testing.T, method, class, id, deadline string, body io.Reader) *http.Request {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+n.address+"/api/key?a=1", body)
@@ -27,13 +26,13 @@
 	return req
 }
 
-// testClient is a client that writes its requests itself, on one connection.
+// testClient is a client that writes its requests as text on one connection.
 type testClient struct {
 	*net.TCPConn
 	read *bufio.Reader // of the responses
 }
 
-// dial connects a client to the node, until the test's end.
+// dial connects a client to the node. The connection is closed when the test ends.
 func (n *testNode) dial(t *testing.T) testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", n.address)
@@ -45,8 +44,8 @@
 	return testClient{c.(*net.TCPConn), bufio.NewReader(c)}
 }
 
-// connectAt connects a client, and returns since when it is connected. With served
-// it has received a response already.
+// connectAt connects a client and returns the time at which it was connected. If
+// served is set, the client has received a response before connectAt returns.
 func (n *testNode) connectAt(t *testing.T, served bool) (testClient, time.Time) {
 	t.Helper()
 	c := n.dial(t)
@@ -60,7 +59,7 @@
 	return c, connectedAt
 }
 
-// sendGet sends a request that is idempotent if its class is.
+// sendGet sends a GET request, which is idempotent if its class is.
 func (c testClient) sendGet(t *testing.T, class, id, deadline string) {
 	t.Helper()
 	if _, err := fmt.Fprintf(c, "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline: %s\r\n\r\n",
@@ -69,8 +68,8 @@
 	}
 }
 
-// sendPost sends a request that is not idempotent: its attempt is not given up for
-// another one, however slow the machine is.
+// sendPost sends a request that is not idempotent: the node does not abandon its
+// attempt for another one, however slow the machine is.
 func (c testClient) sendPost(t *testing.T, id, deadline string) {
 	t.Helper()
 	if _, err := io.WriteString(c, postText(id, deadline)); err != nil {
@@ -95,8 +94,8 @@
 		id, deadline)
 }
 
-// pipelinedGets returns requests as a client sends them that does not wait for
-// responses.
+// pipelinedGets returns the text of count requests, as sent by a client that does not
+// wait for responses.
 func pipelinedGets(count int) string {
 	var b strings.Builder
 	for i := range count {
@@ -105,14 +104,14 @@
 	return b.String()
 }
 
-// clientResponse is a response as its client received it.
+// clientResponse is a response as received by a client.
 type clientResponse struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// sendRequest sends a request on a connection of its own and waits for the response.
+// sendRequest sends a request on a new connection and waits for the response.
 func sendRequest(t *testing.T, req *http.Request) clientResponse {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * testTimeout}
--- a/internal/node/testconn_test.go
+++ b/internal/node/testconn_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// faultyListener is a listener whose Accept a hook fails or delays.
+// faultyListener is a listener with a hook that can fail or delay Accept.
 type faultyListener struct {
 	net.Listener
-	before func() error // called before each Accept, which returns its error
+	before func() error // called before each Accept, which fails with the returned error
 }
 
 func (l faultyListener) Accept() (net.Conn, error) {
@@ -21,11 +21,11 @@
 	return l.Listener.Accept()
 }
 
-// lateAcceptErrorListener is a listener whose Accept reports its end only when it is
-// released.
+// lateAcceptErrorListener is a listener whose Accept returns an error, such as that of
+// a closed listener, only after release is closed.
 type lateAcceptErrorListener struct {
 	net.Listener
-	closed  chan struct{} // closed when Accept has seen the end
+	closed  chan struct{} // closed when Accept has failed and waits for release
 	release chan struct{}
 }
 
@@ -38,8 +38,9 @@
 	return c, err
 }
 
-// splittingListener is a listener whose connections are read in two pieces, the
-// first of which is one byte longer with each connection, or byte by byte.
+// splittingListener is a listener whose connections are read in two pieces or, with
+// byteByByte, one byte at a time. The first piece is one byte long on the first
+// connection, and one byte longer on each further connection.
 type splittingListener struct {
 	net.Listener
 	accepted   atomic.Int64
@@ -48,7 +49,7 @@
 
 type splitConn struct {
 	*net.TCPConn
-	firstPiece int // bytes that are left of it
+	firstPiece int // bytes of the first piece that are still to be read
 	byteByByte bool
 }
 
@@ -72,8 +73,9 @@
 	return n, err
 }
 
-// lateEndListener is a listener whose connections report their end only when they
-// are released, as in a process that is held up between the end and its next step.
+// lateEndListener is a listener whose connections report their end or an error only
+// after release is closed. This simulates a process that stalls after a read has
+// found the end.
 type lateEndListener struct {
 	net.Listener
 	release chan struct{}
@@ -101,7 +103,7 @@
 }
 
 // lateReadListener is a listener whose connections return what they have read only
-// after a delay, as in a process that does not run meanwhile.
+// after a delay. This simulates a process that stalls after a read.
 type lateReadListener struct {
 	net.Listener
 	delay *atomic.Int64 // a time.Duration
@@ -126,8 +128,8 @@
 	return n, err
 }
 
-// interruptedConn is a connection on which something happens between the call of
-// Read and its bytes.
+// interruptedConn is a connection that calls beforeRead between the call of Read and
+// the read from the socket.
 type interruptedConn struct {
 	*net.TCPConn
 	beforeRead func()
@@ -135,11 +137,11 @@
 
 func (c interruptedConn) Read(b []byte) (int, error) {
 	c.beforeRead()
-	c.TCPConn.SetReadDeadline(time.Now().Add(testTimeout)) // the bytes arrived before the deadline was set
+	c.TCPConn.SetReadDeadline(time.Now().Add(testTimeout)) // simulates bytes that arrived before beforeRead set a deadline
 	return c.TCPConn.Read(b)
 }
 
-// connectionPair returns the node's end and the client's end of a connection.
+// connectionPair returns the node's side and the client's side of a connection.
 func connectionPair(t *testing.T) (*clientConn, net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/testdiscovery_test.go
+++ b/internal/node/testdiscovery_test.go
@@ -11,9 +11,10 @@
 	"testing"
 )
 
-// startDiscovery starts a discovery with one endpoint list, which it sends to
-// clients with another version. Long polls for its version hang: watched receives a
-// value when one begins, gone when it ends.
+// startDiscovery starts a discovery with one endpoint list, whose version is index. It
+// sends the list to clients that have no version or another one, and never answers a
+// long poll with this version: pollStarted receives a value when such a poll begins,
+// pollEnded when it ends.
 func startDiscovery(t *testing.T, index int, entries ...string) (address string, pollStarted, pollEnded chan bool) {
 	t.Helper()
 	pollStarted, pollEnded = make(chan bool, 100), make(chan bool, 100)
@@ -30,13 +31,13 @@
 	return s.Listener.Addr().String(), pollStarted, pollEnded
 }
 
-// endpointJSON returns an entry of an endpoint list.
+// endpointJSON returns an entry of an endpoint list in JSON.
 func endpointJSON(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m2","group":3,"status":%q,"weight":1.5,"since_ms":7}`, name, address, status)
 }
 
-// boundPort returns an address of the loopback interface that refuses connections
-// until listen is called.
+// boundPort binds a port of the loopback interface and returns its address, which
+// refuses connections until listen is called.
 func boundPort(t *testing.T) (address string, listen func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -16,8 +16,8 @@
 	"bankshift/internal/upstream"
 )
 
-// testConfig returns a configuration with one class of each idempotency, whose
-// time limits no test reaches.
+// testConfig returns a configuration with one class of each idempotency. No test
+// reaches the classes' time limits.
 func testConfig(discovery string) Config {
 	return Config{Name: "n0", Discovery: discovery, Seed: 1, MemoryMB: 192, Sockets: 512, Settings: balancer.Settings{
 		Nodes: 1, Zone: "a", Zones: []string{"a"}, MachineTypes: []string{"m2"}, MaxAttempts: 4, CancelAllowed: true, RetryAfterAllowed: true,
@@ -33,41 +33,41 @@
 // testNode is a node that runs in a test.
 type testNode struct {
 	*Node
-	dials           *dialHook // of its pool
-	address         string    // for clients
+	dials           *dialHook // set in its pool; nil if the pool is not replaced
+	address         string    // at which clients connect
 	stop            context.CancelFunc
 	endServingPhase func()     // ends the first phase of the shutdown
 	ended           chan error // receives the result of Run
 }
 
-// startNode starts a node, with a discovery that names the backends at these
-// addresses as s-0, s-1 and so on.
+// startNode starts a node and a discovery that lists the backends at these addresses
+// under the names s-0, s-1 and so on.
 func startNode(t *testing.T, backends ...string) *testNode {
 	t.Helper()
 	return startNodeWith(t, func(*balancer.Settings) {}, backends...)
 }
 
-// startNodeWith is startNode, with changed settings.
+// startNodeWith is startNode with changed settings.
 func startNodeWith(t *testing.T, change func(*balancer.Settings), backends ...string) *testNode {
 	t.Helper()
 	return startNodeOn(t, newListener(t), func(c *Config) { change(&c.Settings) }, backends...)
 }
 
-// startNodeOn is startNode, on a listener and with a changed configuration.
+// startNodeOn is startNode with a listener and a changed configuration.
 func startNodeOn(t *testing.T, ln net.Listener, change func(*Config), backends ...string) *testNode {
 	t.Helper()
 	return startNodeWithPool(t, ln, change, func(*upstream.Config) {}, backends...)
 }
 
-// startNodeWithRestTime is startNode, with a rest time of the connections to backends
-// and changed settings.
+// startNodeWithRestTime is startNode with changed settings and a rest time: a
+// connection to a backend carries no request for this long after a response.
 func startNodeWithRestTime(t *testing.T, rest time.Duration, change func(*balancer.Settings), backends ...string) *testNode {
 	t.Helper()
 	return startNodeWithPool(t, newListener(t), func(c *Config) { change(&c.Settings) }, func(c *upstream.Config) { c.RestTime = rest }, backends...)
 }
 
-// startNodeWithPool is startNode, on a listener and with a changed configuration
-// and a changed configuration of the pool.
+// startNodeWithPool is startNode with a listener, a changed configuration of the node
+// and a changed configuration of its pool.
 func startNodeWithPool(t *testing.T, ln net.Listener, change func(*Config), changePool func(*upstream.Config), backends ...string) *testNode {
 	t.Helper()
 	discovery, closeDiscovery := startDiscoveryOf(backends)
@@ -79,7 +79,7 @@
 	served := make(chan struct{})
 	n.endServingPhase = sync.OnceFunc(func() { close(served) })
 	n.frontend.keepServing = func(func() int) { <-served }
-	n.frontend.phases = shutdownPhases{answered: testTimeout, closed: 2 * testTimeout} // tests that need less set it
+	n.frontend.phases = shutdownPhases{answered: testTimeout, closed: 2 * testTimeout} // some tests set shorter ones
 	go func() { n.ended <- n.Run(ctx, ln) }()
 	t.Cleanup(func() {
 		stop()
@@ -103,8 +103,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// startDiscoveryOf starts a discovery whose one list names the backends. Long polls
-// hang until close is called.
+// startDiscoveryOf starts a discovery whose only list names the backends. It holds
+// long polls open until close is called.
 func startDiscoveryOf(backends []string) (address string, close func()) {
 	var entries []string
 	for i, address := range backends {
@@ -127,8 +127,8 @@
 	}
 }
 
-// startNodeWithPhases starts a node with the shutdown phases of its own settings.
-// Its configuration names one backend.
+// startNodeWithPhases starts a node with the shutdown phases that follow from its
+// settings. Its configuration lists one backend.
 func startNodeWithPhases(t *testing.T, cfg Config, ln net.Listener, backend string) *testNode {
 	t.Helper()
 	cfg.Known.Endpoints = []json.RawMessage{json.RawMessage(endpointJSON("s-0", backend, "ready"))}
@@ -143,8 +143,8 @@
 	return n
 }
 
-// startNodeFromConfig starts a node with a configuration, on a listener of its own.
-// Its shutdown has no first phase.
+// startNodeFromConfig starts a node with a configuration and a new listener. Its
+// shutdown has no serving phase.
 func startNodeFromConfig(t *testing.T, cfg Config) *testNode {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -183,8 +183,8 @@
 	return count
 }
 
-// blockLoop stops the loop until release is called, so that the test can run in its
-// place what is posted to it.
+// blockLoop blocks the loop until release is called, so that the test itself can run
+// the functions that are posted to it.
 func (n *testNode) blockLoop(t *testing.T) (release func()) {
 	t.Helper()
 	blocked, released := make(chan bool), make(chan bool)
@@ -193,21 +193,21 @@
 		<-released
 	})
 	release = sync.OnceFunc(func() { close(released) })
-	t.Cleanup(release) // before the node's end waits for the loop
+	t.Cleanup(release) // runs before the node's cleanup, which waits for the loop
 	receive(t, blocked, "the loop")
 	return release
 }
 
-// disconnect closes the one connection that is open and waits until the node has
-// seen it.
+// disconnect closes c, which has to be the only open connection, and waits until the
+// node has noticed it.
 func (n *testNode) disconnect(t *testing.T, c testClient) {
 	t.Helper()
 	c.Close()
 	waitUntil(t, "the connection's end", func() bool { return n.frontend.connections.openConnections() == 0 })
 }
 
-// mustNotSend checks that a backend does not receive a request: it has another one
-// sent, after anything that was sent before.
+// mustNotSend checks that a backend does not receive the request with this ID. It
+// sends another request, which the backend receives after any earlier one.
 func (n *testNode) mustNotSend(t *testing.T, got <-chan string, id string) {
 	t.Helper()
 	c := n.dial(t)
@@ -217,21 +217,21 @@
 	}
 	for next := ""; next != "next"; {
 		if next = receive(t, got, "the next request"); next == id {
-			t.Fatal("the request is sent though its client has left")
+			t.Fatal("the request was sent although its client had disconnected")
 		}
 	}
 }
 
-// connectionsInRequest returns on how many connections the head of a request has
-// been read.
+// connectionsInRequest returns the number of connections on which the head of a
+// request has been read and the response is not finished.
 func (n *testNode) connectionsInRequest() int {
 	n.frontend.connections.mu.Lock()
 	defer n.frontend.connections.mu.Unlock()
 	return n.frontend.connections.slotsInUse - len(n.frontend.connections.idle)
 }
 
-// hasReceivedFrom reports whether a part of the next request has been received on a
-// client's idle connection.
+// hasReceivedFrom reports whether the node has received a part of the next request on
+// a client's idle connection.
 func (n *testNode) hasReceivedFrom(client net.Conn) bool {
 	n.frontend.connections.mu.Lock()
 	defer n.frontend.connections.mu.Unlock()
@@ -261,7 +261,7 @@
 	}
 }
 
-// hookDials replaces the pool of a node that does not run yet by one with a hook
+// hookDials replaces the pool of a node that does not run yet. The new pool has a hook
 // in its dialer and a changed configuration.
 func hookDials(n *Node, change func(*upstream.Config)) *dialHook {
 	_, connections := n.cfg.Connections()
