--- a/balancer/action.go
+++ b/balancer/action.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Action is something that the caller must do. The types below are all there are.
+// Action is something that the caller must do. The types below are its only implementations.
 type Action interface{ action() }
 
 // Actions.
@@ -12,14 +12,14 @@
 		ID          RequestID
 		Endpoint    EndpointID
 		Timeout     time.Duration // 0: until the client stops waiting
-		StartWithin time.Duration // its first byte must leave within this time; 0: at any time during the attempt
+		StartWithin time.Duration // its first byte must be sent within this time; 0: at any time during the attempt
 	}
-	// Reject is a final answer: no endpoint served the request, and another try does no harm.
+	// Reject is a final answer: no endpoint served the request, and the client may safely try again.
 	Reject struct {
 		ID         RequestID
-		RetryAfter time.Duration // how long the client should wait; 0: it is given no time
+		RetryAfter time.Duration // how long the client should wait before it tries again; 0: the client is not told
 	}
-	// Fail is a final answer that promises nothing: the request may have run.
+	// Fail is a final answer that does not promise that another try is safe: the request may have run.
 	Fail struct{ ID RequestID }
 	// CancelAttempt stops waiting for an attempt.
 	CancelAttempt struct {
@@ -45,15 +45,15 @@
 	FetchEndpoints struct{}
 	// CloseIdleConnections closes this node's idle connections to an endpoint.
 	CloseIdleConnections struct{ Endpoint EndpointID }
-	// EndpointEjected is for the log: an endpoint gets only trial requests from now on.
+	// EndpointEjected is logged: an endpoint gets only trial requests from now on.
 	EndpointEjected struct {
 		Endpoint EndpointID
 		Reason   string
 	}
-	// EndpointRecovered is for the log: an ejected endpoint has served a request.
+	// EndpointRecovered is logged: an ejected endpoint has served a request.
 	EndpointRecovered struct {
 		Endpoint  EndpointID
-		SlowStart bool // it warms up, as it may have restarted
+		SlowStart bool // the endpoint warms up, as it may have restarted
 	}
 )
 
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -4,18 +4,18 @@
 //
 // Settings, events and actions are in settings.go, event.go and action.go. Each kind of decision has its own file:
 //
-//	request.go      the life of a request: arrival, attempts, final answer
+//	request.go      lifecycle of a request: arrival, attempts, final answer
 //	endpoints.go    updates of the endpoint list
 //	subset.go       which endpoints this node works with
-//	overload.go     overload thresholds and modes: the paper's hysteresis
-//	admission.go    priority, and what is dropped on overload
+//	overload.go     overload thresholds and modes: the hysteresis of the paper that it cites
+//	admission.go    request priority, and which requests are dropped on overload
 //	picker.go       choice of the endpoint: power of two choices
 //	latency.go      estimates of latency and throughput
 //	outlier.go      ejection of endpoints that fail, trial requests
-//	slowstart.go    endpoints that warm up
-//	retry.go        what may be sent again or rejected, attempt timeouts
+//	slowstart.go    slow start of endpoints that warm up
+//	retry.go        which requests may be sent again or rejected, attempt timeouts
 //	quota.go        quotas of tenants
-//	healthcheck.go  load checked before a send
+//	healthcheck.go  health checks that read the load of endpoints before a send
 //	poll.go         polling for the endpoint list
 package balancer
 
@@ -33,20 +33,20 @@
 	settings Settings
 	rng      random
 
-	// The event that is being handled.
+	// State of the current call of Handle.
 	now     Time
-	actions []Action // so far, in order
+	actions []Action // emitted so far, in order
 
-	started         bool // the first event has come
-	startedAt       Time // its time
-	periodStartedAt Time // of the current shedPeriod
+	started         bool // the first event has been handled
+	startedAt       Time // time of the first event
+	periodStartedAt Time // start of the current shedPeriod
 
 	// Requests.
 	requests       map[RequestID]*request // open, or with attempts in flight
-	openRequests   []*request             // in order of arrival; some may be done since the last tick
-	awaitingChecks []*request             // in order of their health checks
+	openRequests   []*request             // in order of arrival; may include requests done since the last tick
+	awaitingChecks []*request             // waiting for health check results, in the order of their checks
 	classes        map[string]*class
-	classOrder     []*class // by settings, then by first use
+	classOrder     []*class // those of the settings in their order, then the others in order of first use
 	quotas         map[string]*quota
 	retryBudget    tokenBucket
 	trialBudget    tokenBucket
@@ -54,24 +54,24 @@
 	// Endpoints.
 	poller                 poller
 	endpointsByID          map[EndpointID]*endpoint
-	endpoints              []*endpoint // in this node's order, from its start on
-	endpointsFromDiscovery bool        // an update has come from discovery since this process began
+	endpoints              []*endpoint // in this node's order, starting at its subsetStart
+	endpointsFromDiscovery bool        // discovery has sent an update since this process started
 	recentlyRemoved        map[EndpointID]removal
 	machineTypes           map[string]*machineType
 	placements             []*placement
-	nodesPerEndpoint       float64 // nodes that have an endpoint in their subset, on average
-	checksLoad             bool    // the load of endpoints is checked before each send
+	nodesPerEndpoint       float64 // average number of nodes that have a given endpoint in their subset
+	checksLoad             bool    // health checks read the load of endpoints before each send
 
 	// Estimates over all endpoints.
-	learned           bool    // there were enough responses for thresholds
+	learned           bool    // enough responses were seen to derive overload thresholds from them
 	latency           ewma    // s
-	uncrowdedLatency  float64 // s, the least of late
+	uncrowdedLatency  float64 // s, lowest recent average latency
 	serviceTime       ewma    // s, of a mean request
-	concurrency       float64 // requests that an endpoint works on at once, by its load reports
-	meanThroughput    float64 // responses per second to this node from the mean endpoint
-	peakThroughput    float64 // its peak of late
-	failureShare      float64 // smoothed part of attempts that fail
-	tightestObjective float64 // s, for a mean request
+	concurrency       float64 // requests that an endpoint works on at once, according to load reports
+	meanThroughput    float64 // responses per second to this node, mean over the warm endpoints of its subsets
+	peakThroughput    float64 // recent peak of meanThroughput
+	failureShare      float64 // moving average of the share of attempts that fail
+	tightestObjective float64 // s, lowest latency objective of all classes, scaled to a mean request
 }
 
 // New returns the balancer of a node that has just started. Balancers with the same settings and seed that handle the
@@ -95,7 +95,7 @@
 	for _, class := range settings.Classes {
 		b.addClass(class.Name, class)
 	}
-	b.placementFor(nil, nil) // for classes that the settings lack
+	b.placementFor(nil, nil) // for classes that are not in the settings
 	for _, tenant := range settings.Tenants {
 		first := tokenBucket{tokens: firstQuotaTokens * (0.5 + b.rng.float64())}
 		b.quotas[tenant.Name] = &quota{rate: tenant.Quota / nodes, bucket: first}
@@ -103,7 +103,8 @@
 	return b
 }
 
-// withDefaults returns the settings with values that the decisions can rely on.
+// withDefaults returns the settings with at least one node and an OverloadDuration, and without a MaxRetryAfter if
+// RetryAfterAllowed is false.
 func withDefaults(settings Settings) Settings {
 	settings.Nodes = max(1, settings.Nodes)
 	settings.OverloadDuration = cmp.Or(settings.OverloadDuration, time.Second)
@@ -113,7 +114,8 @@
 	return settings
 }
 
-// Handle takes an event that happened now and returns what is to be done about it, in order. The caller owns the slice.
+// Handle processes an event that happened now and returns the actions to carry out, in order. The caller owns the
+// slice.
 func (b *Balancer) Handle(now Time, event Event) []Action {
 	b.now = now
 	b.actions = nil
@@ -141,10 +143,10 @@
 	return b.actions
 }
 
-// emit adds an action to those that Handle returns.
+// emit appends an action to those that Handle returns.
 func (b *Balancer) emit(action Action) { b.actions = append(b.actions, action) }
 
-// start starts the clocks of the periodic work, at the first event.
+// start begins polling and the periodic work. It runs at the first event.
 func (b *Balancer) start() {
 	b.started = true
 	b.startedAt = b.now
@@ -159,7 +161,8 @@
 	b.emit(SetTimer{After: max(tickInterval, b.settings.MinEventInterval)})
 }
 
-// timerFired does the periodic work, or ends a wait for health checks.
+// timerFired does the periodic work unless the timer ends a round of health checks. Either way it dispatches the
+// requests that need not wait for health checks any longer.
 func (b *Balancer) timerFired(event TimerFired) {
 	if event.Token != healthCheckToken {
 		b.tick()
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// removalMemory is how long the start of a removed endpoint is remembered, should the endpoint be back.
+// removalMemory is how long the start time of a removed endpoint is kept, in case the endpoint is listed again.
 const removalMemory = 10 * time.Minute
 
-// endpoint is an entry of the endpoint list and what this node knows of it.
+// endpoint is an entry of the endpoint list, with what this node has learned about the endpoint.
 type endpoint struct {
 	Endpoint
 	machineType *machineType
-	order       uint64 // position in this node's order of the endpoints
-	inSubset    bool   // in this node's subset of a placement if none is ejected
+	order       uint64 // sort key for this node's order of the endpoints
+	inSubset    bool   // in this node's subset of some placement as long as no endpoint is ejected
 
 	overloadState
 	latencyState
@@ -25,12 +25,12 @@
 
 // removal is what is kept of a removed endpoint.
 type removal struct {
-	startedAt       Time // as discovery dated it
-	warmupStartedAt Time // on the balancer's clock
+	startedAt       Time // start time as given by discovery
+	warmupStartedAt Time // start of its slow start, on the balancer's clock
 	removedAt       Time
 }
 
-// endpointByID returns an endpoint, which it adds if it is new.
+// endpointByID returns the endpoint with the given ID, which it adds if it is new.
 func (b *Balancer) endpointByID(id EndpointID) *endpoint {
 	if b.endpointsByID[id] == nil {
 		added := &endpoint{order: splitmix64(uint64(b.subsetOrder())<<32 | uint64(id))}
@@ -51,7 +51,7 @@
 	if update.Kind != CachedUpdate {
 		b.pollAnswered()
 	}
-	if update.Kind != IncrementalUpdate { // what it does not name has been removed
+	if update.Kind != IncrementalUpdate { // endpoints that the update does not name have been removed
 		for _, endpoint := range b.endpoints {
 			endpoint.State = Removed
 		}
@@ -70,18 +70,18 @@
 // applyEntry applies one entry of an update.
 func (b *Balancer) applyEntry(entry Endpoint, kind UpdateKind, lag time.Duration) {
 	endpoint := b.endpointByID(entry.ID)
-	// Another start is another process, even if it is dated before the last.
+	// A different start time means another process, even if it is earlier than the last one.
 	if entry.State == Ready && entry.StartedAt != 0 && entry.StartedAt != endpoint.StartedAt {
 		b.restarted(endpoint, b.endpointStartedAt(entry, kind, lag))
 	}
 	endpoint.Endpoint = entry
 	endpoint.machineType = b.machineTypeByName(entry.MachineType)
 	if entry.State != Ready {
-		b.emit(CloseIdleConnections{Endpoint: entry.ID}) // those in use follow as they end
+		b.emit(CloseIdleConnections{Endpoint: entry.ID}) // connections in use are closed as their attempts end
 	}
 }
 
-// restarted forgets what held for an endpoint's earlier process.
+// restarted drops the state that belongs to an endpoint's earlier process, and begins its slow start.
 func (b *Balancer) restarted(endpoint *endpoint, startedAt Time) {
 	endpoint.ejected = false
 	endpoint.consecutiveFailures = 0
@@ -90,7 +90,8 @@
 	b.startWarmup(endpoint, startedAt)
 }
 
-// forgetRemoved takes removed endpoints out of all state but that of their attempts, and keeps their start for a while.
+// forgetRemoved drops removed endpoints from all state except that of their attempts, and keeps their start times for
+// removalMemory.
 func (b *Balancer) forgetRemoved() {
 	b.endpoints = b.endpoints[:0]
 	for id, endpoint := range b.endpointsByID {
@@ -110,7 +111,7 @@
 	})
 }
 
-// orderEndpoints puts the endpoints in this node's order, from its start on.
+// orderEndpoints sorts the endpoints into this node's order, rotated to begin at its subsetStart, and clears inSubset.
 func (b *Balancer) orderEndpoints() {
 	slices.SortFunc(b.endpoints, func(x, y *endpoint) int { return cmp.Compare(x.order, y.order) })
 	start := int(float64(len(b.endpoints)) * b.subsetStart())
--- a/balancer/event.go
+++ b/balancer/event.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Time is a reading of the caller's monotonic clock, which starts at any time.
+// Time is a reading of the caller's monotonic clock, whose zero is arbitrary.
 type Time = time.Duration
 
 // EndpointID identifies an endpoint. It is opaque.
@@ -15,9 +15,9 @@
 type EndpointState int
 
 const (
-	// Ready endpoints take requests.
+	// Ready endpoints accept requests.
 	Ready EndpointState = iota
-	// Draining endpoints finish the requests that they have and take no others.
+	// Draining endpoints finish the requests that they hold and accept no others.
 	Draining
 	// Removed endpoints are no longer on the endpoint list.
 	Removed
@@ -31,20 +31,20 @@
 	Cell        int
 	State       EndpointState
 	Weight      float64 // capacity relative to other endpoints
-	StartedAt   Time    // start of its process; 0: long ago
+	StartedAt   Time    // start of its process; 0: long ago, so that it needs no slow start
 }
 
 // UpdateKind is the form of an EndpointUpdate.
 type UpdateKind int
 
 const (
-	// IncrementalUpdate has only the entries that changed.
+	// IncrementalUpdate contains only the entries that changed.
 	IncrementalUpdate UpdateKind = iota
-	// FullUpdate has all entries; an endpoint that is not among them has been removed.
+	// FullUpdate contains all entries; an endpoint that is not among them has been removed.
 	FullUpdate
-	// CachedUpdate has all entries as this node had them last; they may be out of date.
+	// CachedUpdate contains all entries that this node last knew; they may be out of date.
 	CachedUpdate
-	// FailedUpdate has no entries: a poll failed or the subscription broke.
+	// FailedUpdate contains no entries: a poll failed or the subscription broke.
 	FailedUpdate
 )
 
@@ -54,7 +54,7 @@
 const (
 	// OK means that the endpoint served the request.
 	OK Outcome = iota
-	// ServerError means that the endpoint failed; the request may have run.
+	// ServerError means that the endpoint responded with an error; the request may have run.
 	ServerError
 	// Rejected means that the endpoint rejected the request without executing it.
 	Rejected
@@ -64,12 +64,13 @@
 	ConnectFailed
 	// Reset means that the connection broke; the request may have run.
 	Reset
-	// Canceled means that this node gave the attempt up; the request may have run.
+	// Canceled means that this node canceled the attempt; the request may have run.
 	Canceled
-	// NotSent means that the request was never sent for a reason that is not the endpoint's: the request was over,
-	// or this node lacked a resource.
+	// NotSent means that the request was never sent, and that the endpoint is not the cause: the request was over, or
+	// this node lacked a resource.
 	NotSent
-	// BadRequest means that no endpoint could process the request, because of the client; it may have run.
+	// BadRequest means that no endpoint could process the request, because of a fault of the client; the request may
+	// have run.
 	BadRequest
 )
 
@@ -89,10 +90,10 @@
 	return o != Rejected && o != ConnectFailed && o != NotSent
 }
 
-// LoadReport is an endpoint's load as it reports it itself. It is late and not exact.
+// LoadReport is the load that an endpoint reports about itself. It arrives late and is not exact.
 type LoadReport struct {
-	InFlight    float64 // requests held, where HasInFlight
-	Queued      float64 // of these, requests waiting, where HasQueued
+	InFlight    float64 // requests held; valid if HasInFlight
+	Queued      float64 // the part of InFlight that waits to be processed; valid if HasQueued
 	HasInFlight bool
 	HasQueued   bool
 	Utilization float64 // 0 if absent
@@ -101,20 +102,20 @@
 	ErrorRate   float64 // errors per second
 }
 
-// Event is something that has happened. The types below are all there are.
+// Event is something that happened outside the balancer. The types below are its only implementations.
 type Event interface{ event() }
 
 // Events.
 type (
-	// RequestArrived is a new request. The balancer owes it one final answer: a Send whose attempt is served,
+	// RequestArrived is a new request. The balancer gives it exactly one final answer: a Send whose attempt is served,
 	// Reject or Fail.
 	RequestArrived struct {
 		ID          RequestID
 		Class       string
 		Tenant      string
-		Key         string        // what the request is about, for affinity; empty if it carries none
+		Key         string        // affinity key: names what the request is about; empty if it carries none
 		Timeout     time.Duration // until the client stops waiting for this try
-		WorkHint    time.Duration // expected work, where HasWorkHint
+		WorkHint    time.Duration // expected work; valid if HasWorkHint
 		HasWorkHint bool
 		IsRetry     bool // the client has tried before
 		Write       bool
@@ -125,28 +126,29 @@
 		Version   uint64
 		Endpoints []Endpoint
 	}
-	// AttemptEnded is the outcome of an attempt. Each Send is followed by one.
+	// AttemptEnded is the outcome of an attempt. Each Send is followed by exactly one.
 	AttemptEnded struct {
 		ID          RequestID
 		Attempt     int
 		Endpoint    EndpointID
 		RequestDone bool // the request has had its final answer
 		Elapsed     time.Duration
-		SinceSent   time.Duration // the part of Elapsed since the request's last byte left; 0: all of it
+		SinceSent   time.Duration // the part of Elapsed since the request's last byte was sent; 0: all of it
 		Outcome     Outcome
 		Report      *LoadReport // nil if none came
 	}
-	// StreamStarted is the start of a streamed response.
+	// StreamStarted means that a streamed response has begun.
 	StreamStarted struct {
 		ID       RequestID
 		Attempt  int
 		Endpoint EndpointID
 		Elapsed  time.Duration
 	}
-	// RequestAbandoned means that the client has left; it needs no answer.
+	// RequestAbandoned means that the client no longer waits for the request, which needs no answer.
 	RequestAbandoned struct{ ID RequestID }
-	// DeadlineExceeded means that the request's final answer is due. It is answered at once by Reject or Fail, unless a
-	// stream has begun. A Balancer that gets its timers and outcomes in time needs none: it gives up by itself.
+	// DeadlineExceeded means that the request's final answer is due. Reject or Fail answers it at once, unless a
+	// stream has begun. The event is not needed if timers and outcomes reach the Balancer in time: it then gives the
+	// request up by itself.
 	DeadlineExceeded struct{ ID RequestID }
 	// HealthCheckEnded is the result of a HealthCheck.
 	HealthCheckEnded struct {
@@ -160,7 +162,7 @@
 		From int
 		Data []byte
 	}
-	// TimerFired means that the time of a SetTimer is over.
+	// TimerFired means that the timer of a SetTimer with this token has expired.
 	TimerFired struct{ Token int64 }
 )
 
--- a/balancer/healthcheck.go
+++ b/balancer/healthcheck.go
@@ -6,29 +6,30 @@
 )
 
 const (
-	healthCheckToken     = 1                    // of the timer that ends a round; the tick's timer has 0
-	maxHealthCheckCost   = 0.005                // points off the result that the checks before one send may cost
-	healthCheckTimeout   = 5 * time.Millisecond // some round trips, far under any latency objective
-	maxHealthCheckRounds = 3                    // of two endpoints each, before all count as full
+	healthCheckToken     = 1                    // token of the timer that ends a round; the tick's timer has token 0
+	maxHealthCheckCost   = 0.005                // most points off the result that two checks before a send may cost
+	healthCheckTimeout   = 5 * time.Millisecond // several round trips, far below any latency objective
+	maxHealthCheckRounds = 3                    // of two endpoints each, before all endpoints count as full
 )
 
 // healthCheckRound is the state of a request that checks the load of two endpoints before it is sent.
 type healthCheckRound struct {
 	awaitingChecks    bool
-	healthCheckRounds int         // for the next attempt, so far
+	healthCheckRounds int         // rounds so far for the next attempt
 	checkedAt         Time        // start of the last round
-	checked           []*endpoint // in the last round
+	checked           []*endpoint // endpoints of the last round; after it, only those that sent a load report
 }
 
-// healthChecksPay reports whether the load of endpoints is checked before each send: if load reports come by health
-// checks only, and these are cheap. A node's own counts, of 0 or 1 where there are many nodes, say little.
+// healthChecksPay reports whether the load of endpoints is to be checked before each send: health checks must be the
+// only source of load reports, and cheap. Among many nodes, the own counts of a node are 0 or 1 and say little about
+// the load of an endpoint.
 func (b *Balancer) healthChecksPay() bool {
 	return b.settings.HealthChecksAllowed && b.settings.LoadReportSource == LoadReportsByHealthCheck &&
 		2*b.settings.Costs.HealthCheck <= maxHealthCheckCost
 }
 
-// startHealthChecks checks the load of two more endpoints and reports whether it did. The request then waits for the
-// results, or for healthCheckTimeout.
+// startHealthChecks starts health checks of two endpoints for a request and reports whether it did. The request then
+// waits for the results, but no longer than healthCheckTimeout.
 func (b *Balancer) startHealthChecks(request *request) bool {
 	first, second, mode := b.candidates(request, request.class.placement.endpoints)
 	if !b.checksLoad || request.healthCheckRounds >= maxHealthCheckRounds || mode == Blocked {
@@ -46,7 +47,7 @@
 	return true
 }
 
-// healthCheckEnded records a result. A failed health check counts like a failed request.
+// healthCheckEnded records the result of a health check. A failed health check counts like a failed request.
 func (b *Balancer) healthCheckEnded(event HealthCheckEnded) {
 	if endpoint := b.endpointsByID[event.Endpoint]; endpoint != nil {
 		b.applyLoadReport(endpoint, event.Report)
@@ -57,8 +58,8 @@
 	b.resumeChecked()
 }
 
-// resumeChecked dispatches the requests that have all their results or have waited long enough. They choose among the
-// endpoints that have answered.
+// resumeChecked dispatches the requests whose health checks have all brought a load report or have timed out. Only
+// endpoints that sent a load report are considered for them.
 func (b *Balancer) resumeChecked() {
 	waiting := b.awaitingChecks
 	b.awaitingChecks = nil
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	failureGain            = 0.005                  // weight of an attempt in the share of attempts that fail
+	failureGain            = 0.005                  // weight of one attempt in the moving average failureShare
 	minConsecutiveFailures = 3                      // to eject an endpoint: fewer may be chance
-	maxChanceOfFailures    = 1e-5                   // of so many failures in a row, if all endpoints fail alike
+	maxChanceOfFailures    = 1e-5                   // probability of a chance run of failures, below which to eject
 	minUnansweredSends     = 4                      // to eject a silent endpoint: fewer may be chance
 	silentFactor           = 4.0                    // multiple of the expected latency that is no longer chance
 	conclusiveFactor       = 2.0                    // multiple of it before which a missing response proves nothing
-	firstTrialBackoff      = 500 * time.Millisecond // before the first trial request
-	maxTrialBackoff        = 4 * time.Second        // between two trial requests
-	logInterval            = 5 * time.Second        // between two log actions about one endpoint
+	firstTrialBackoff      = 500 * time.Millisecond // wait before the first trial request, before jitter
+	maxTrialBackoff        = 4 * time.Second        // longest wait between two trial requests, before jitter
+	logInterval            = 5 * time.Second        // least time between two log actions about one endpoint
 )
 
-// outlierState is the outlier detection of an endpoint. An ejected endpoint gets only trial requests, and is back when
-// it serves one.
+// outlierState is the state of outlier detection for an endpoint. An ejected endpoint gets only trial requests, until
+// it serves a request.
 type outlierState struct {
 	ejected             bool
-	consecutiveFailures int  // since the last success; lost connections count twice
+	consecutiveFailures int  // since the last success; failed and broken connections count twice
 	unansweredSends     int  // since the last response
-	silentSince         Time // time of the first of these
+	silentSince         Time // time of the first unanswered send
 	mayHaveRestarted    bool // it was silent or unreachable since its last success
-	nextTrialAt         Time // no trial request before
+	nextTrialAt         Time // no trial request before this time
 	trialBackoff        backoff
-	logQuietUntil       Time // no log action before
+	logQuietUntil       Time // no log action before this time
 }
 
-// countSend records a send that awaits its response.
+// countSend records a send that has no response yet.
 func (o *outlierState) countSend(now Time) {
 	o.unansweredSends++
 	if o.unansweredSends == 1 {
@@ -39,14 +39,14 @@
 	}
 }
 
-// recordOutcome updates all that is known of an endpoint by the outcome of an attempt there.
+// recordOutcome updates the state of an endpoint from the outcome of an attempt there.
 func (b *Balancer) recordOutcome(endpoint *endpoint, request *request, event AttemptEnded) {
 	if b.inconclusive(endpoint, request.class, event) {
 		return
 	}
 	switch event.Outcome {
 	case Canceled:
-	case NotSent: // no response is missing
+	case NotSent: // the send cannot have a response
 		endpoint.unansweredSends = max(0, endpoint.unansweredSends-1)
 	case BadRequest:
 		endpoint.unansweredSends = 0
@@ -56,17 +56,17 @@
 	case OK:
 		b.recordSuccess(endpoint, request, event)
 	default:
-		if event.Outcome == TimedOut && b.now >= endpoint.imposedUntil { // its queue is longer than requests can wait
+		if event.Outcome == TimedOut && b.now >= endpoint.imposedUntil { // its queue is too long for requests to wait
 			b.impose(endpoint, Overloaded, timeoutRest)
 		}
-		// A failure counts as a slow response: failing fast must not attract work.
+		// A failure counts as a slow response, so that an endpoint that fails fast does not attract requests.
 		b.observeEndpointLatency(endpoint, request.class, max(event.Elapsed, request.objective()))
 		b.recordFailure(endpoint, event.Outcome)
 	}
 }
 
-// inconclusive reports whether an attempt timed out before a response could be expected: it had only the time that
-// earlier attempts or a slow connection left.
+// inconclusive reports whether an attempt timed out before a response could be expected, because earlier attempts or a
+// slow connection left it too little time.
 func (b *Balancer) inconclusive(endpoint *endpoint, class *class, event AttemptEnded) bool {
 	if event.Outcome != TimedOut || event.SinceSent <= 0 {
 		return false
@@ -74,8 +74,8 @@
 	return event.SinceSent.Seconds() < conclusiveFactor*b.expectedLatency(endpoint, class)
 }
 
-// recordSuccess records a served attempt. An endpoint that was silent may have restarted unannounced, so if it serves a
-// trial request it starts to warm up.
+// recordSuccess records a served attempt. An ejected endpoint that was silent or unreachable may have restarted without
+// an endpoint update, so its slow start begins when it serves a trial request.
 func (b *Balancer) recordSuccess(endpoint *endpoint, request *request, event AttemptEnded) {
 	endpoint.throughput.countEvent(b.now, throughputTau)
 	endpoint.unansweredSends = 0
@@ -96,10 +96,10 @@
 // recordFailure records a failed attempt or health check, and ejects the endpoint after too many in a row.
 func (b *Balancer) recordFailure(endpoint *endpoint, outcome Outcome) {
 	endpoint.consecutiveFailures++
-	if outcome == ConnectFailed || outcome == Reset { // its process has ended, or is out of reach
+	if outcome == ConnectFailed || outcome == Reset { // its process has ended or is unreachable
 		endpoint.consecutiveFailures++
 	}
-	if outcome == ServerError { // an error is a response
+	if outcome == ServerError { // an error is a response, so the endpoint is not silent
 		endpoint.unansweredSends = 0
 	} else {
 		endpoint.mayHaveRestarted = true
@@ -109,12 +109,13 @@
 	}
 }
 
-// failuresToEject is the number of consecutive failures that cannot be chance: more if all endpoints fail now and then.
+// failuresToEject returns the number of consecutive failures whose probability, if all endpoints failed alike, is
+// maxChanceOfFailures. It grows with the share of attempts that fail over all endpoints.
 func (b *Balancer) failuresToEject() float64 {
 	return math.Max(minConsecutiveFailures, math.Log(maxChanceOfFailures)/math.Log(b.failureShare))
 }
 
-// observeFailureShare updates the share of attempts that fail, over all endpoints.
+// observeFailureShare updates the share of attempts that fail over all endpoints.
 func (b *Balancer) observeFailureShare(outcome Outcome) {
 	switch outcome {
 	case OK:
@@ -124,7 +125,7 @@
 	}
 }
 
-// eject leaves only trial requests to an endpoint.
+// eject stops all requests to an endpoint except trial requests.
 func (b *Balancer) eject(endpoint *endpoint, reason string) {
 	if endpoint.ejected {
 		return
@@ -135,7 +136,7 @@
 	b.emitRateLimited(endpoint, EndpointEjected{Endpoint: endpoint.ID, Reason: reason})
 }
 
-// ejectSilent ejects the endpoints that have answered none of several sends for too long.
+// ejectSilent ejects the endpoints that silent reports.
 func (b *Balancer) ejectSilent() {
 	for _, endpoint := range b.endpoints {
 		if b.silent(endpoint) {
@@ -145,8 +146,8 @@
 	}
 }
 
-// silent reports whether an endpoint has had several sends, and no response in a time in which the mean request of the
-// fleet would be long done.
+// silent reports whether an endpoint has answered none of several sends within silentFactor times the latency of a mean
+// request at this endpoint or over all endpoints, whichever is longer.
 func (b *Balancer) silent(endpoint *endpoint) bool {
 	if endpoint.unansweredSends < minUnansweredSends || b.latency.mean <= 0 {
 		return false
@@ -155,7 +156,7 @@
 	return (b.now - endpoint.silentSince).Seconds() > longest
 }
 
-// sendTrial sends a request that may be repeated to an ejected endpoint that is due for a trial, and reports whether it
+// sendTrial sends a request that may be repeated to an ejected endpoint whose next trial is due, and reports whether it
 // did. The attempt's timeout leaves time to try another endpoint.
 func (b *Balancer) sendTrial(request *request) bool {
 	if request.class.Idempotency == NotIdempotent {
@@ -181,7 +182,7 @@
 	endpoint.nextTrialAt = b.now + b.rng.jitter(endpoint.trialBackoff.next())
 }
 
-// emitRateLimited emits an action for the log, at most one about an endpoint in logInterval: one that fails and
+// emitRateLimited emits an action for the log, at most one per endpoint in logInterval: an endpoint that fails and
 // recovers all the time must not fill a disk.
 func (b *Balancer) emitRateLimited(endpoint *endpoint, action Action) {
 	if b.now >= endpoint.logQuietUntil {
--- a/balancer/poll.go
+++ b/balancer/poll.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Polling for the endpoint list, where changes do not come by themselves.
+// Polling for the endpoint list, used if updates come only on demand (Settings.EndpointsOnDemand).
 
 const (
-	// MaxPollRetryInterval is the longest time from the start of a failed poll to the start of the next. A change must
-	// be known 6 s after discovery had it and could be reached, even if the poll under way and the one after it fail:
-	// two intervals and the answer to a third poll fit into that, without the drain grace. Discovery may delay a poll
-	// by up to 2 s, and one given up earlier waits anew, so the interval cannot be much shorter.
+	// MaxPollRetryInterval is the longest time from the start of a failed poll to the start of the next. A node must
+	// know a change 6 s after discovery has it and is reachable, even if the poll under way and the next one fail: two
+	// intervals and the answer to a third poll fit into 6 s, without the drain grace. Discovery may delay a poll by up
+	// to 2 s, and a poll that is given up sooner has to wait again, so the interval cannot be much shorter.
 	MaxPollRetryInterval = 2500 * time.Millisecond
 
-	firstPollBackoff  = 200 * time.Millisecond // after the first failure
-	pollAnswerTimeout = 5 * time.Second        // least time without an answer before the next poll, which ends the last
+	firstPollBackoff  = 200 * time.Millisecond // wait after the first failure
+	pollAnswerTimeout = 5 * time.Second        // least time before a new poll ends a poll that has had no answer
 )
 
 // poller decides when to subscribe to the endpoint list.
 type poller struct {
 	subscribed bool // discovery has answered, and sends changes
 	pending    bool // a poll is under way
-	nextPollAt Time // no poll before
-	polledAt   Time // the last poll
+	nextPollAt Time // no poll before this time
+	polledAt   Time // start of the last poll
 	backoff    backoff
 }
 
@@ -42,16 +42,17 @@
 	b.emit(Subscribe{On: true})
 }
 
-// pollAnswered records an endpoint update. A subscription is answered at once, even if nothing has changed.
+// pollAnswered records that discovery has sent an update. Discovery answers a subscription at once, even if nothing has
+// changed.
 func (b *Balancer) pollAnswered() {
 	poller := &b.poller
 	poller.subscribed = poller.subscribed || poller.pending
 	poller.pending = false
 }
 
-// pollFailed schedules the next poll. The wait doubles within MaxPollRetryInterval, and has jitter: nodes that lost
-// discovery together must not return together. A subscription that breaks right after it opened is no better than a
-// failed poll, so only one that lasted for an interval resets the backoff.
+// pollFailed schedules the next poll. The wait doubles within MaxPollRetryInterval. It has jitter, so that nodes that
+// lost discovery together do not all poll again together. A subscription that breaks right after it opened is no better
+// than a failed poll, so only one that lasted for about MaxPollRetryInterval resets the backoff.
 func (b *Balancer) pollFailed() {
 	poller := &b.poller
 	room := MaxPollRetryInterval - tickInterval
@@ -63,6 +64,6 @@
 	}
 	poller.subscribed = false
 	poller.pending = false
-	wait := min(poller.backoff.next(), room*2/3) // jitter adds a half at most
+	wait := min(poller.backoff.next(), room*2/3) // jitter adds up to half of the wait
 	poller.nextPollAt = b.now + b.rng.jitter(wait)
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// overdueFactor is the multiple of the expected latency after which an attempt is no load any more: tails are long.
+// overdueFactor is the multiple of the expected latency after which an attempt no longer counts as load. It is large
+// because latency distributions have long tails.
 const overdueFactor = 10.0
 
-// class is a class of requests and what this node knows of it.
+// class is a class of requests and what this node has learned about it.
 type class struct {
 	Class
 	placement    *placement
-	workHint     ewma    // s
+	workHint     ewma    // s, work hints of its requests
 	latency      ewma    // s, of its responses
-	fleetLatency ewma    // s, the mean over all classes at the times of its responses
+	fleetLatency ewma    // s, mean latency over all classes, sampled at each response of this class
 	relativeWork float64 // work of its mean request, as a multiple of the mean over all classes
 }
 
@@ -24,17 +25,17 @@
 		c.Idempotency == IdempotentByKey && c.DeduplicationScope == DeduplicatedByFleet
 }
 
-// request is a request that has no final answer, or attempts in flight.
+// request is a request that has no final answer yet or still has attempts in flight.
 type request struct {
 	id           RequestID
 	class        *class
 	arrivedAt    Time
 	deadline     Time
-	spentBefore  time.Duration // how long its client had waited in earlier tries, as far as known
-	relativeWork float64       // its work by its hint, as a multiple of its class's mean
+	spentBefore  time.Duration // upper bound on the client's wait in earlier tries; 0 for a first or unmarked try
+	relativeWork float64       // its work hint, as a multiple of its class's mean; 1 without a hint
 	attempts     []attempt
 	inFlight     int  // attempts that have not ended
-	priority     bool // it counts among the N1 of admission control
+	priority     bool // admission control counts it in N1, the arrivals with priority
 	trial        bool // an attempt was a trial request
 	streaming    bool // the response has begun
 	done         bool // it has its final answer
@@ -45,10 +46,10 @@
 type attempt struct {
 	endpoint       *endpoint
 	sentAt         Time
-	inFlightBefore float64 // requests at the endpoint, as far as known
+	inFlightBefore float64 // requests at the endpoint before this one was sent, as far as this node knows
 	ended          bool
-	mayHaveRun     bool // it is in flight, or its outcome does not prove that it never ran
-	released       bool // it no longer counts as in flight at the endpoint
+	mayHaveRun     bool // the attempt is in flight, or its outcome does not prove that the request never ran
+	released       bool // the attempt no longer counts as in flight at the endpoint
 }
 
 // lastMayHaveRun reports whether the last attempt, if there is one, may have run.
@@ -74,7 +75,7 @@
 	return &r.attempts[number]
 }
 
-// classByName returns a class. One that the settings lack has no weight and is not idempotent.
+// classByName returns a class by its name. A class that is not in the settings has no weight and is not idempotent.
 func (b *Balancer) classByName(name string) *class {
 	if b.classes[name] == nil {
 		b.addClass(name, Class{})
@@ -82,17 +83,17 @@
 	return b.classes[name]
 }
 
-// objective is the time within which a request of the class should be served, whose client waits for so long: the
-// latency objective, or for a class without one all the time that its clients have. All that needs an objective asks
-// here, but for the value of a late response, which a class without one always has.
+// objective returns the time within which a request of the class should be served: the latency objective or, for a
+// class without one, the class's deadline or else the request's timeout. Use it wherever a class without an objective
+// needs one; pastObjective does not, because a late response of such a class keeps its value.
 func (c *class) objective(patience time.Duration) time.Duration {
 	return cmp.Or(c.LatencyObjective, c.Deadline, patience)
 }
 
-// objective is that of the request's class.
+// objective returns the time within which the request should be served.
 func (r *request) objective() time.Duration { return r.class.objective(r.deadline - r.arrivedAt) }
 
-// addClass adds a class under a name.
+// addClass adds a class with the given name and settings.
 func (b *Balancer) addClass(name string, settings Class) {
 	added := &class{Class: settings, relativeWork: 1}
 	added.placement = b.placementFor(settings.AllowedZones, settings.AllowedMachineTypes)
@@ -101,12 +102,12 @@
 	b.classOrder = append(b.classOrder, added)
 }
 
-// timeSpent is how long the client has waited, over all its tries, as far as known.
+// timeSpent returns how long the client has waited over all its tries, as far as known.
 func (b *Balancer) timeSpent(request *request) time.Duration {
 	return request.spentBefore + b.now - request.arrivedAt
 }
 
-// requestArrived sends a new request or answers it.
+// requestArrived registers a new request and sends it or gives its final answer. It may be used as a trial request.
 func (b *Balancer) requestArrived(event RequestArrived) {
 	request := b.openRequest(event)
 	request.priority = b.hasPriority(request, event.Tenant)
@@ -119,7 +120,7 @@
 	b.dispatch(request)
 }
 
-// openRequest adds a request.
+// openRequest registers a new request.
 func (b *Balancer) openRequest(event RequestArrived) *request {
 	class := b.classByName(event.Class)
 	opened := &request{
@@ -129,7 +130,7 @@
 		deadline:     b.now + event.Timeout,
 		relativeWork: 1,
 	}
-	if event.IsRetry { // the client has waited for so long at most
+	if event.IsRetry { // the most that the client can have waited
 		opened.spentBefore = max(0, class.Deadline-event.Timeout)
 	}
 	if event.HasWorkHint && event.WorkHint > 0 {
@@ -141,8 +142,8 @@
 	return opened
 }
 
-// dispatch makes a request's next attempt or, if there can be none, gives the request up. It may first check the load
-// of endpoints, and is then called again with the results.
+// dispatch starts a request's next attempt or, if none is possible, gives the request up. It may first start health
+// checks, and is then called again with their results.
 func (b *Balancer) dispatch(request *request) {
 	endpoint, mode := b.pick(request)
 	if request.awaitingChecks || mode != Normal && b.startHealthChecks(request) {
@@ -163,13 +164,13 @@
 	}
 }
 
-// send sends a request to an endpoint, which may be nil, and reports whether the rules allowed it. Every attempt passes
-// here.
+// send starts an attempt at an endpoint, which may be nil, and reports whether the rules allowed it. Every attempt is
+// started here.
 func (b *Balancer) send(request *request, endpoint *endpoint, timeout time.Duration) bool {
 	if endpoint == nil || !b.maySend(request, endpoint) {
 		return false
 	}
-	startWithin := b.deduplicationTimeLeft(request) // by the attempts before this one
+	startWithin := b.deduplicationTimeLeft(request) // depends only on the attempts before this one
 	request.attempts = append(request.attempts, attempt{
 		endpoint:       endpoint,
 		sentAt:         b.now,
@@ -189,7 +190,7 @@
 	return true
 }
 
-// streamStarted records that a response has begun: the request can have no other attempt.
+// streamStarted records that a response has begun, after which the request can have no other attempt.
 func (b *Balancer) streamStarted(event StreamStarted) {
 	request := b.requests[event.ID]
 	attempt := request.attempt(event.Attempt)
@@ -200,7 +201,7 @@
 	b.observeLatency(attempt, request, event.Elapsed)
 }
 
-// attemptEnded records the outcome of an attempt and goes on with its request.
+// attemptEnded records the outcome of an attempt and continues its request.
 func (b *Balancer) attemptEnded(event AttemptEnded) {
 	request := b.requests[event.ID]
 	attempt := request.attempt(event.Attempt)
@@ -220,14 +221,14 @@
 	b.continueRequest(request, event)
 }
 
-// continueRequest ends a request after an attempt, or makes the next attempt.
+// continueRequest ends a request after an attempt, or starts the next attempt.
 func (b *Balancer) continueRequest(request *request, event AttemptEnded) {
 	switch {
 	case request.done && request.inFlight == 0:
 		delete(b.requests, request.id)
 	case event.RequestDone:
 		b.closeRequest(request)
-	case event.Outcome == BadRequest && !request.done: // no other endpoint could use it
+	case event.Outcome == BadRequest && !request.done: // no other endpoint could process it
 		b.emit(Fail{ID: request.id})
 		b.closeRequest(request)
 	case request.inFlight == 0:
@@ -235,7 +236,7 @@
 	}
 }
 
-// releaseInFlight takes an attempt out of its endpoint's count, once.
+// releaseInFlight removes an attempt from its endpoint's count of requests in flight. Repeated calls have no effect.
 func (b *Balancer) releaseInFlight(attempt *attempt) {
 	if attempt.released {
 		return
@@ -244,8 +245,8 @@
 	attempt.endpoint.inFlight = max(0, attempt.endpoint.inFlight-1)
 }
 
-// checkOpenRequests takes overdue attempts out of the counts, gives up requests whose deadline has passed, in case an
-// outcome never comes, and forgets those that are done.
+// checkOpenRequests stops counting overdue attempts, gives up requests whose deadline has passed, in case an outcome
+// never comes, and drops requests that are done.
 func (b *Balancer) checkOpenRequests() {
 	open := b.openRequests[:0]
 	for _, request := range b.openRequests {
@@ -260,8 +261,8 @@
 	b.openRequests = open
 }
 
-// discountOverdue takes a request's attempts that have long been due out of the counts. They are no load: a few silent
-// ones, each kept until its deadline, would make every endpoint look full.
+// discountOverdue stops counting a request's overdue attempts as in flight. If a few attempts without a response
+// counted until their deadlines, every endpoint would look full.
 func (b *Balancer) discountOverdue(request *request) {
 	if request.inFlight == 0 || request.streaming || b.latency.mean == 0 {
 		return
@@ -275,7 +276,8 @@
 	}
 }
 
-// deadlineExceeded gives a request up whose answer is due, whatever this node's own account of its deadline.
+// deadlineExceeded gives up a request whose final answer is due, even if its deadline on the balancer's clock has not
+// passed.
 func (b *Balancer) deadlineExceeded(event DeadlineExceeded) {
 	request := b.requests[event.ID]
 	if request != nil && !request.done && !request.streaming {
@@ -285,7 +287,7 @@
 
 // giveUp gives the final answer to a request that no endpoint served: Reject if allowed, else Fail.
 func (b *Balancer) giveUp(request *request) {
-	retryAfter := b.retryAfter(request.objective()) // drawn for Fail as well
+	retryAfter := b.retryAfter(request.objective()) // the random number is drawn for Fail as well
 	if b.mayReject(request) {
 		b.emit(Reject{ID: request.id, RetryAfter: retryAfter})
 	} else {
@@ -294,8 +296,8 @@
 	b.closeRequest(request)
 }
 
-// closeRequest records that a request has its final answer, or needs none, and cancels its attempts in flight. The
-// request may be nil.
+// closeRequest records that a request has its final answer or needs none, and cancels its attempts in flight if
+// cancelling is allowed. The request may be nil.
 func (b *Balancer) closeRequest(request *request) {
 	if request == nil || request.done {
 		return
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	retryBudgetPerRequest = 0.1  // retries that each arrival allows, and half as many trial requests
-	retryBudgetBurst      = 10.0 // retries that the budget saves up
-	trialBudgetBurst      = 1.0  // trial requests that their budget saves up
-	attemptTimeoutFactor  = 15.0 // multiple of the expected latency after which a retryable attempt is given up
-	retryAfterShare       = 0.15 // part of the latency objective that a rejected client waits
+	retryBudgetPerRequest = 0.1  // retries that each arrival adds to the budget; it adds half as many trial requests
+	retryBudgetBurst      = 10.0 // most retries that the budget can hold
+	trialBudgetBurst      = 1.0  // most trial requests that their budget can hold
+	attemptTimeoutFactor  = 15.0 // multiple of the expected latency after which a repeatable attempt is given up
+	retryAfterShare       = 0.15 // fraction of the objective that a rejected client should wait, before jitter
 )
 
-// maySend reports whether the request may be sent to the endpoint. It holds every rule on sending.
+// maySend reports whether the rules allow sending the request to the endpoint. All rules on sending are checked here;
+// load and slow start are not.
 func (b *Balancer) maySend(request *request, endpoint *endpoint) bool {
 	if !b.mayAttempt(request) || endpoint.State != Ready || !request.class.placement.allows(endpoint) {
 		return false
@@ -26,7 +27,7 @@
 	return true
 }
 
-// mayAttempt holds the rules on sending that are the same for all endpoints.
+// mayAttempt checks the rules on sending that do not depend on the endpoint.
 func (b *Balancer) mayAttempt(request *request) bool {
 	if request.done || request.streaming || b.now >= request.deadline {
 		return false
@@ -38,7 +39,7 @@
 	return request.inFlight < maxInFlight && len(request.attempts) < max(1, b.settings.MaxAttempts)
 }
 
-// mayRepeat reports whether, after this attempt, another may be sent to the endpoint.
+// mayRepeat reports whether another attempt may be sent to the endpoint after the given attempt.
 func (b *Balancer) mayRepeat(class *class, attempt *attempt, endpoint *endpoint) bool {
 	if attempt.endpoint == endpoint {
 		return false
@@ -53,7 +54,7 @@
 	return inWindow && class.DeduplicationScope.shared(attempt.endpoint, endpoint)
 }
 
-// shared reports whether two endpoints know each other's idempotency keys.
+// shared reports whether two endpoints share the idempotency keys that they have seen.
 func (s DeduplicationScope) shared(a, b *endpoint) bool {
 	switch s {
 	case DeduplicatedByCell:
@@ -64,13 +65,13 @@
 	return true
 }
 
-// mayReject reports whether a request may be rejected, which promises that another try does no harm.
+// mayReject reports whether a request may be rejected: a rejection promises that another try is safe.
 func (b *Balancer) mayReject(request *request) bool {
 	return request.firstThatMayHaveRun() == nil || request.class.repeatableAnywhere()
 }
 
-// deduplicationTimeLeft is the time in which a request with an idempotency key that may have run must be sent again;
-// 0: no limit.
+// deduplicationTimeLeft returns the time within which a request with an idempotency key that may have run must be sent
+// again, if at all; 0: no limit.
 func (b *Balancer) deduplicationTimeLeft(request *request) time.Duration {
 	attempt := request.firstThatMayHaveRun()
 	if attempt == nil || request.class.Idempotency != IdempotentByKey {
@@ -79,8 +80,8 @@
 	return attempt.sentAt + request.class.DeduplicationWindow - b.settings.MinEventInterval - b.now
 }
 
-// attemptTimeout is how long an attempt may take. One that may be repeated is given up when hardly any response takes
-// so long, if there is time for another within the objective: a silent endpoint must not take all of a request's time.
+// attemptTimeout returns how long an attempt may take. A repeatable attempt is given up after a time that hardly any
+// response takes, if the objective leaves time for another: a silent endpoint must not use up a request's whole time.
 func (b *Balancer) attemptTimeout(request *request, endpoint *endpoint) time.Duration {
 	untilDeadline := request.deadline - b.now
 	if endpoint == nil || request.class.Idempotency == NotIdempotent || !b.learned || !b.settings.CancelAllowed {
@@ -88,7 +89,8 @@
 	}
 	usual := b.expectedLatency(endpoint, request.class)
 	timeout := time.Duration(attemptTimeoutFactor * usual * float64(time.Second))
-	// If the attempt can neither be repeated nor, having run, be rejected, giving it up is a plain loss.
+	// Giving the attempt up gains nothing if the request can then neither be sent again nor, as it may have run, be
+	// rejected.
 	if b.lastWithin(request, timeout) && !request.class.repeatableAnywhere() {
 		return untilDeadline
 	}
@@ -99,15 +101,16 @@
 	return timeout
 }
 
-// lastWithin reports whether the next attempt is the last if it takes the given time: by the number of attempts or the
-// deduplication window.
+// noRetryAfter reports whether the next attempt is the last one if it takes the given time, because of the limit on
+// attempts or because the deduplication window will have ended.
 func (b *Balancer) lastWithin(request *request, timeout time.Duration) bool {
 	window := cmp.Or(b.deduplicationTimeLeft(request), request.class.DeduplicationWindow-b.settings.MinEventInterval)
 	return timeout >= window || len(request.attempts)+1 >= b.settings.MaxAttempts
 }
 
-// RetryAfter is how long a rejected client of the class should wait, jittered, if it has patience for so long; 0:
-// clients are given no time.
+// RetryAfter returns how long a rejected client of the class should wait before it tries again, with jitter; 0: clients
+// are not told. clientTimeout, after which the client stops waiting, matters only for a class that has neither a
+// latency objective nor a deadline.
 func (b *Balancer) RetryAfter(class string, patience time.Duration) time.Duration {
 	return b.retryAfter(b.classByName(class).objective(patience))
 }
