--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -12,7 +12,7 @@
 	maxChanceOfFailures    = 1e-5                   // probability of a chance run of failures, below which to eject
 	minUnansweredSends     = 4                      // to eject a silent endpoint: fewer may be chance
 	silentFactor           = 4.0                    // multiple of the expected latency that is no longer chance
-	conclusiveFactor       = 2.0                    // multiple of it before which a missing response proves nothing
+	conclusiveFactor       = 2.0                    // multiple of the expected latency before which silence proves nothing
 	firstTrialBackoff      = 500 * time.Millisecond // wait before the first trial request, before jitter
 	maxTrialBackoff        = 4 * time.Second        // longest wait between two trial requests, before jitter
 	logInterval            = 5 * time.Second        // least time between two log actions about one endpoint
