--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -152,7 +152,7 @@
 	b.startedAt = b.now
 	b.periodStartedAt = b.now
 	b.startPolling()
-	b.checksLoad = b.healthChecksPay()
+	b.checksLoad = b.shouldCheckLoad()
 	b.setTick()
 }
 
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -35,7 +35,7 @@
 	if b.endpointsByID[id] == nil {
 		added := &endpoint{order: splitmix64(uint64(b.subsetOrder())<<32 | uint64(id))}
 		added.listedAt = b.now
-		added.logQuietUntil = b.now
+		added.nextLogAt = b.now
 		added.thresholdDither = b.rng.float64()
 		b.endpointsByID[id] = added
 	}
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -22,10 +22,10 @@
 	events   []scheduledEvent // to come, in order of their scheduling
 
 	// Set by the test at any time.
-	respond  func(balancer.EndpointID) (latency time.Duration, outcome balancer.Outcome)
-	work     func(balancer.RequestID) time.Duration // added to the latency
-	patience time.Duration                          // of a client, over all its tries
-	retries  int                                    // of a rejected client, each after its Retry-After
+	respond       func(balancer.EndpointID) (latency time.Duration, outcome balancer.Outcome)
+	work          func(balancer.RequestID) time.Duration // added to the latency
+	clientTimeout time.Duration                          // of a client, over all its tries
+	retries       int                                    // of a rejected client, each after its Retry-After
 
 	// Requests.
 	arrivals     int                                    // so far; a request's ID is its class and number
@@ -91,17 +91,17 @@
 // newHarness returns a harness with the endpoints 1 to n, which serve each request in 50 ms.
 func newHarness(settings balancer.Settings, endpoints int) *harness {
 	h := &harness{
-		balancer:     balancer.New(settings, 5),
-		now:          time.Hour,
-		respond:      func(balancer.EndpointID) (time.Duration, balancer.Outcome) { return 50 * time.Millisecond, balancer.OK },
-		work:         func(balancer.RequestID) time.Duration { return 0 },
-		patience:     2 * time.Second,
-		arrivedAt:    map[balancer.RequestID]time.Duration{},
-		attempts:     map[balancer.RequestID]int{},
-		answered:     map[balancer.RequestID]bool{},
-		finalActions: map[balancer.RequestID]balancer.Action{},
-		sent:         map[balancer.EndpointID]int{},
-		inTime:       map[string]int{},
+		balancer:      balancer.New(settings, 5),
+		now:           time.Hour,
+		respond:       func(balancer.EndpointID) (time.Duration, balancer.Outcome) { return 50 * time.Millisecond, balancer.OK },
+		work:          func(balancer.RequestID) time.Duration { return 0 },
+		clientTimeout: 2 * time.Second,
+		arrivedAt:     map[balancer.RequestID]time.Duration{},
+		attempts:      map[balancer.RequestID]int{},
+		answered:      map[balancer.RequestID]bool{},
+		finalActions:  map[balancer.RequestID]balancer.Action{},
+		sent:          map[balancer.EndpointID]int{},
+		inTime:        map[string]int{},
 	}
 	update := balancer.EndpointUpdate{Kind: balancer.CachedUpdate}
 	for i := range endpoints {
@@ -119,10 +119,10 @@
 }
 
 // sentTo is the number of sends to the endpoints for which it holds.
-func (h *harness) sentTo(holds func(balancer.EndpointID) bool) int {
+func (h *harness) sentTo(matches func(balancer.EndpointID) bool) int {
 	total := 0
 	for id, n := range h.sent {
-		if holds(id) {
+		if matches(id) {
 			total += n
 		}
 	}
@@ -169,7 +169,7 @@
 	h.arrivals++
 	id := balancer.RequestID(fmt.Sprint(class, h.arrivals))
 	h.arrivedAt[id] = h.now
-	h.handle(balancer.RequestArrived{ID: id, Class: class, Timeout: h.patience})
+	h.handle(balancer.RequestArrived{ID: id, Class: class, Timeout: h.clientTimeout})
 }
 
 // recordResponse counts a response in time and notes in the event whether the request is answered with it.
@@ -248,12 +248,12 @@
 	h.retryAfters = append(h.retryAfters, reject.RetryAfter)
 	client, tries, _ := strings.Cut(string(reject.ID), "/") // one letter for each earlier retry
 	waited := h.now + reject.RetryAfter - h.arrivedAt[balancer.RequestID(client)]
-	if len(tries) >= h.retries || waited >= h.patience {
+	if len(tries) >= h.retries || waited >= h.clientTimeout {
 		return
 	}
 	h.schedule(reject.RetryAfter, balancer.RequestArrived{
 		ID:      balancer.RequestID(client + "/" + tries + "x"),
 		Class:   classOf(client),
-		Timeout: h.patience - waited,
+		Timeout: h.clientTimeout - waited,
 	})
 }
--- a/balancer/healthcheck.go
+++ b/balancer/healthcheck.go
@@ -20,10 +20,10 @@
 	checked           []*endpoint // endpoints of the last round; after it, only those that sent a load report
 }
 
-// healthChecksPay reports whether the load of endpoints is to be checked before each send: health checks must be the
+// shouldCheckLoad reports whether the load of endpoints is to be checked before each send: health checks must be the
 // only source of load reports, and cheap. Among many nodes, the own counts of a node are 0 or 1 and say little about
 // the load of an endpoint.
-func (b *Balancer) healthChecksPay() bool {
+func (b *Balancer) shouldCheckLoad() bool {
 	return b.settings.HealthChecksAllowed && b.settings.LoadReportSource == LoadReportsByHealthCheck &&
 		2*b.settings.Costs.HealthCheck <= maxHealthCheckCost
 }
--- a/balancer/healthcheck_test.go
+++ b/balancer/healthcheck_test.go
@@ -40,8 +40,8 @@
 	highHealthCheckCost = 0.01
 )
 
-// requestA is a request for the class of newCheckingNode.
-func requestA() RequestArrived {
+// pageRequest is a request for the class of newCheckingNode.
+func pageRequest() RequestArrived {
 	return RequestArrived{ID: "a", Class: "page", Timeout: time.Second}
 }
 
@@ -52,7 +52,7 @@
 // One of many nodes does not know what the others have sent: it checks two endpoints and takes the one with less load.
 func TestChecksTwoEndpointsAndTakesTheLessLoaded(t *testing.T) {
 	node := newCheckingNode(lowHealthCheckCost)
-	actions := node.Handle(time.Hour, requestA())
+	actions := node.Handle(time.Hour, pageRequest())
 	checked := healthChecks(actions)
 	if len(checked) != 2 || checked[0] == checked[1] || len(sends(actions)) > 0 {
 		t.Fatalf("%v", actions)
@@ -70,7 +70,7 @@
 // A silent endpoint does not delay the request for long: it goes to the one that answers its health check.
 func TestHealthCheckTimesOut(t *testing.T) {
 	node := newCheckingNode(lowHealthCheckCost)
-	checked := healthChecks(node.Handle(time.Hour, requestA()))
+	checked := healthChecks(node.Handle(time.Hour, pageRequest()))
 	node.Handle(node.now, HealthCheckEnded{Endpoint: checked[0], Report: reportOf(1, 0)})
 	to := sends(node.Handle(node.now+healthCheckTimeout, TimerFired{Token: healthCheckToken}))
 	if len(to) != 1 || to[0] != checked[0] {
@@ -81,7 +81,7 @@
 // Two full endpoints may be chance: more are checked before the request is rejected, but not for ever.
 func TestMoreEndpointsAreCheckedIfTwoAreFull(t *testing.T) {
 	node := newCheckingNode(lowHealthCheckCost)
-	actions := node.Handle(time.Hour, requestA())
+	actions := node.Handle(time.Hour, pageRequest())
 	for round := 1; round <= maxHealthCheckRounds; round++ {
 		checked := healthChecks(actions)
 		if len(checked) != 2 {
@@ -99,7 +99,7 @@
 // listed must not add it again.
 func TestNoHealthChecksIfExpensive(t *testing.T) {
 	node := newCheckingNode(highHealthCheckCost)
-	actions := node.Handle(time.Hour, requestA())
+	actions := node.Handle(time.Hour, pageRequest())
 	if len(healthChecks(actions)) > 0 || len(sends(actions)) != 1 {
 		t.Errorf("%v", actions)
 	}
@@ -132,7 +132,7 @@
 	for hint, wantSends := range map[time.Duration]int{20 * time.Millisecond: 1, 400 * time.Millisecond: 0} {
 		node := newCheckingNode(lowHealthCheckCost)
 		node.classByName("page").workHint = ewma{mean: 0.1, samples: 100}
-		request := requestA()
+		request := pageRequest()
 		request.WorkHint = hint
 		request.HasWorkHint = true
 		checked := healthChecks(node.Handle(time.Hour, request))
@@ -145,9 +145,9 @@
 }
 
 // An endpoint that warms up does the same work more slowly: a request that fits a warm one may be late there.
-func TestWarmingUpEndpointFitsLess(t *testing.T) {
+func TestWarmingUpEndpointCountsAsSlower(t *testing.T) {
 	node := newCheckingNode(lowHealthCheckCost)
-	checked := healthChecks(node.Handle(time.Hour, requestA()))
+	checked := healthChecks(node.Handle(time.Hour, pageRequest()))
 	for _, id := range checked {
 		endpoint := node.endpointsByID[id]
 		node.startWarmup(endpoint, node.now)
--- a/balancer/objective_test.go
+++ b/balancer/objective_test.go
@@ -87,7 +87,7 @@
 func TestCheckedEndpointWithoutObjective(t *testing.T) {
 	for name := range classesWithoutObjective {
 		node := newCheckingNode(lowHealthCheckCost)
-		arrived := requestA()
+		arrived := pageRequest()
 		if name == "unknown" {
 			arrived.Class = "unknown"
 		}
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -28,7 +28,7 @@
 	mayHaveRestarted    bool // it was silent or unreachable since its last success
 	nextTrialAt         Time // no trial request before this time
 	trialBackoff        backoff
-	logQuietUntil       Time // no log action before this time
+	nextLogAt           Time // no log action before this time
 }
 
 // countSend records a send that has no response yet.
@@ -185,8 +185,8 @@
 // emitRateLimited emits an action for the log, at most one per endpoint in logInterval: an endpoint that fails and
 // recovers all the time must not fill a disk.
 func (b *Balancer) emitRateLimited(endpoint *endpoint, action Action) {
-	if b.now >= endpoint.logQuietUntil {
-		endpoint.logQuietUntil = b.now + logInterval
+	if b.now >= endpoint.nextLogAt {
+		endpoint.nextLogAt = b.now + logInterval
 		b.emit(action)
 	}
 }
--- a/balancer/outlier_behaviour_test.go
+++ b/balancer/outlier_behaviour_test.go
@@ -7,11 +7,11 @@
 	"bankshift/balancer"
 )
 
-// failing makes the endpoints for which it holds respond so, and the others as before.
-func (h *harness) failing(latency time.Duration, outcome balancer.Outcome, holds func(balancer.EndpointID) bool) {
+// failWith makes the endpoints for which it holds respond so, and the others as before.
+func (h *harness) failWith(latency time.Duration, outcome balancer.Outcome, matches func(balancer.EndpointID) bool) {
 	before := h.respond
 	h.respond = func(id balancer.EndpointID) (time.Duration, balancer.Outcome) {
-		if holds(id) {
+		if matches(id) {
 			return latency, outcome
 		}
 		return before(id)
@@ -26,7 +26,7 @@
 	h := newHarness(settings, 5)
 	h.run(5*time.Second, 100, "ordinary")
 	healthy := h.respond
-	h.failing(time.Hour, balancer.TimedOut, func(id balancer.EndpointID) bool { return id == 3 })
+	h.failWith(time.Hour, balancer.TimedOut, func(id balancer.EndpointID) bool { return id == 3 })
 	h.resetCounts()
 	h.run(6*time.Second, 100, "ordinary")
 	if h.sent[3] > 25 || h.failed > 0 || h.rejected > 5 {
@@ -48,9 +48,9 @@
 }
 
 // An endpoint that fails fast must not attract work.
-func TestFastFailingEndpointAttractsNothing(t *testing.T) {
+func TestFastFailingEndpointAttractsNoRequests(t *testing.T) {
 	h := newHarness(harnessSettings(), 4)
-	h.failing(time.Millisecond, balancer.ServerError, func(id balancer.EndpointID) bool { return id == 2 })
+	h.failWith(time.Millisecond, balancer.ServerError, func(id balancer.EndpointID) bool { return id == 2 })
 	h.run(10*time.Second, 100, "ordinary")
 	if h.sent[2] > 60 {
 		t.Errorf("%d of %d sends went to the endpoint that fails", h.sent[2], h.totalSent())
@@ -58,7 +58,7 @@
 }
 
 // If all endpoints slow down at once none is ejected, and each is kept as busy as it was, in requests in flight.
-func TestAllSlowAtOnceEjectsNone(t *testing.T) {
+func TestUniformSlowdownEjectsNone(t *testing.T) {
 	h := newHarness(harnessSettings(), 4)
 	h.run(5*time.Second, 80, "ordinary")
 	h.respond = func(balancer.EndpointID) (time.Duration, balancer.Outcome) {
@@ -81,7 +81,7 @@
 	h := newHarness(harnessSettings(), 3)
 	h.run(3*time.Second, 100, "ordinary")
 	n := 0
-	h.failing(time.Millisecond, balancer.Reset, func(id balancer.EndpointID) bool {
+	h.failWith(time.Millisecond, balancer.Reset, func(id balancer.EndpointID) bool {
 		if id != 1 {
 			return false
 		}
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -35,7 +35,7 @@
 // An ejected endpoint that was silent may have restarted, and warms up when it is back. One that answered each request
 // with an error has not: if the endpoints of a fleet that all failed for a second warmed up, it would reject most of its
 // traffic for long.
-func TestErrorsAreNoRestart(t *testing.T) {
+func TestServerErrorsDoNotImplyRestart(t *testing.T) {
 	for _, outcome := range []Outcome{ServerError, TimedOut, ConnectFailed} {
 		node := newAggregatedNode(t)
 		endpoint := node.placements[0].subset[0]
@@ -58,7 +58,7 @@
 
 // With many ejected endpoints, trial requests must stay a small part of the traffic: each delays a request and costs a
 // connection.
-func TestTrialsAreFew(t *testing.T) {
+func TestTrialRequestsAreLimited(t *testing.T) {
 	node := newNode(1, 360, 60)
 	for _, endpoint := range node.endpoints[:20] {
 		node.eject(endpoint, "test")
@@ -78,7 +78,7 @@
 }
 
 // What a client did wrong, or this node could not do, is no failure of the endpoint; and the first ends the request.
-func TestOutcomesThatAreNoFailure(t *testing.T) {
+func TestOutcomesNotCountedAsFailures(t *testing.T) {
 	for _, outcome := range []Outcome{BadRequest, NotSent} {
 		node := New(Settings{Nodes: 2, MaxAttempts: 9, Classes: []Class{
 			{Name: "page", PriorityWeight: 1, LatencyObjective: 2 * time.Second, Idempotency: Idempotent},
@@ -122,7 +122,7 @@
 }
 
 // If all endpoints fail alike, a few failures in a row eject none.
-func TestFailuresThatAreChance(t *testing.T) {
+func TestChanceFailuresDoNotEject(t *testing.T) {
 	for _, c := range []struct {
 		failureShare float64
 		ejected      bool
--- a/balancer/overload_behaviour_test.go
+++ b/balancer/overload_behaviour_test.go
@@ -175,7 +175,7 @@
 func TestOverloadWithClientRetries(t *testing.T) {
 	h := newHarness(harnessSettings(), 4)
 	h.retries = 2
-	h.patience = 1200 * time.Millisecond
+	h.clientTimeout = 1200 * time.Millisecond
 	endpoints := h.serveSerially()
 	h.runMixed(10*time.Second, 40, "important", 60, "ordinary")
 	h.inTime = map[string]int{}
--- a/balancer/poll.go
+++ b/balancer/poll.go
@@ -55,15 +55,15 @@
 // than a failed poll, so only one that lasted for about MaxPollRetryInterval resets the backoff.
 func (b *Balancer) pollFailed() {
 	poller := &b.poller
-	room := MaxPollRetryInterval - tickInterval
+	maxWait := MaxPollRetryInterval - tickInterval
 	spent := b.now - poller.polledAt
-	if spent < room {
-		room -= spent
+	if spent < maxWait {
+		maxWait -= spent
 	} else if poller.subscribed {
 		poller.backoff.reset()
 	}
 	poller.subscribed = false
 	poller.pending = false
-	wait := min(poller.backoff.next(), room*2/3) // jitter adds up to half of the wait
+	wait := min(poller.backoff.next(), maxWait*2/3) // jitter adds up to half of the wait
 	poller.nextPollAt = b.now + b.rng.jitter(wait)
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -86,8 +86,8 @@
 // objective returns the time within which a request of the class should be served: the latency objective or, for a
 // class without one, the class's deadline or else the request's timeout. Use it wherever a class without an objective
 // needs one; pastObjective does not, because a late response of such a class keeps its value.
-func (c *class) objective(patience time.Duration) time.Duration {
-	return cmp.Or(c.LatencyObjective, c.Deadline, patience)
+func (c *class) objective(clientTimeout time.Duration) time.Duration {
+	return cmp.Or(c.LatencyObjective, c.Deadline, clientTimeout)
 }
 
 // objective returns the time within which the request should be served.
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -6,7 +6,7 @@
 )
 
 // An attempt that gets no response is no load for long, and leaves its request time for another endpoint.
-func TestSilentAttempts(t *testing.T) {
+func TestSilentAttemptIsTimedOutAndNotCounted(t *testing.T) {
 	node := New(Settings{Nodes: 2, MaxAttempts: 4, CancelAllowed: true, Classes: []Class{
 		{Name: "page", PriorityWeight: 1, LatencyObjective: 2 * time.Second, Idempotency: Idempotent},
 		{Name: "pay", PriorityWeight: 1, LatencyObjective: 2 * time.Second, Idempotency: NotIdempotent},
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -91,7 +91,7 @@
 	timeout := time.Duration(attemptTimeoutFactor * usual * float64(time.Second))
 	// Giving the attempt up gains nothing if the request can then neither be sent again nor, as it may have run, be
 	// rejected.
-	if b.lastWithin(request, timeout) && !request.class.repeatableAnywhere() {
+	if b.isLastAttempt(request, timeout) && !request.class.repeatableAnywhere() {
 		return untilDeadline
 	}
 	needed := b.timeSpent(request).Seconds() + (attemptTimeoutFactor+silentFactor)*usual
@@ -101,9 +101,9 @@
 	return timeout
 }
 
-// noRetryAfter reports whether the next attempt is the last one if it takes the given time, because of the limit on
+// isLastAttempt reports whether the next attempt is the last one if it takes the given time, because of the limit on
 // attempts or because the deduplication window will have ended.
-func (b *Balancer) lastWithin(request *request, timeout time.Duration) bool {
+func (b *Balancer) isLastAttempt(request *request, timeout time.Duration) bool {
 	window := cmp.Or(b.deduplicationTimeLeft(request), request.class.DeduplicationWindow-b.settings.MinEventInterval)
 	return timeout >= window || len(request.attempts)+1 >= b.settings.MaxAttempts
 }
@@ -111,8 +111,8 @@
 // RetryAfter returns how long a rejected client of the class should wait before it tries again, with jitter; 0: clients
 // are not told. clientTimeout, after which the client stops waiting, matters only for a class that has neither a
 // latency objective nor a deadline.
-func (b *Balancer) RetryAfter(class string, patience time.Duration) time.Duration {
-	return b.retryAfter(b.classByName(class).objective(patience))
+func (b *Balancer) RetryAfter(class string, clientTimeout time.Duration) time.Duration {
+	return b.retryAfter(b.classByName(class).objective(clientTimeout))
 }
 
 func (b *Balancer) retryAfter(objective time.Duration) time.Duration {
--- a/balancer/retry_behaviour_test.go
+++ b/balancer/retry_behaviour_test.go
@@ -60,7 +60,7 @@
 // An attempt that takes much longer than usual is given up for another. If there can be no other, because of the
 // deduplication window or the number of attempts, and no rejection either after which the client could try again, then
 // giving up is a plain loss.
-func TestSlowResponseIsAwaited(t *testing.T) {
+func TestSlowResponseIsAwaitedIfNoRetryIsPossible(t *testing.T) {
 	const slow = 900 * time.Millisecond // within every deadline and objective
 	for _, c := range []struct {
 		name        string
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -10,23 +10,23 @@
 )
 
 // mutation breaks the actions of one event.
-type mutation func(*world, []balancer.Action) []balancer.Action
+type mutation func(*simulation, []balancer.Action) []balancer.Action
 
-// play plays a world for some time, and then until all deadlines have passed.
-func play(seed int64, duration time.Duration, mutate mutation) *world {
+// simulate plays a simulation for some time, and then until all deadlines have passed.
+func simulate(seed int64, duration time.Duration, mutate mutation) *simulation {
 	const rate = 60 // arrivals per second
-	w := newWorld(seed)
-	w.capacity = rate / 3
-	w.mutate = mutate
-	w.run(duration, rate, true)
-	w.run(12*time.Second, 0, false)
-	return w
+	s := newSimulation(seed)
+	s.capacity = rate / 3
+	s.mutate = mutate
+	s.run(duration, rate, true)
+	s.run(12*time.Second, 0, false)
+	return s
 }
 
 // The rules hold in any legal order of events, with any settings.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
-		violations := play(seed, 15*time.Second, nil).violations
+		violations := simulate(seed, 15*time.Second, nil).violations
 		if len(violations) > 0 {
 			first := violations[:min(5, len(violations))]
 			t.Fatalf("seed %d: %d violations, the first:\n%s", seed, len(violations), strings.Join(first, "\n"))
@@ -39,20 +39,20 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed int64) {
-		if w := play(seed, 5*time.Second, nil); len(w.violations) > 0 {
-			t.Fatal(w.violations[0])
+		if s := simulate(seed, 5*time.Second, nil); len(s.violations) > 0 {
+			t.Fatal(s.violations[0])
 		}
 	})
 }
 
 // Two balancers that handle the same events return the same actions.
 func TestSameEventsSameActions(t *testing.T) {
-	playActions := func() []string {
-		w := newWorld(7)
-		w.run(10*time.Second, 60, false)
-		return w.actions
+	simulateActions := func() []string {
+		s := newSimulation(7)
+		s.run(10*time.Second, 60, false)
+		return s.actions
 	}
-	first, again := playActions(), playActions()
+	first, again := simulateActions(), simulateActions()
 	if len(first) < 500 || len(first) != len(again) {
 		t.Fatalf("%d and %d events", len(first), len(again))
 	}
@@ -64,31 +64,31 @@
 }
 
 // mutateEach breaks actions one by one.
-func mutateEach(change func(*world, balancer.Action) []balancer.Action) mutation {
-	return func(w *world, actions []balancer.Action) []balancer.Action {
+func mutateEach(change func(*simulation, balancer.Action) []balancer.Action) mutation {
+	return func(s *simulation, actions []balancer.Action) []balancer.Action {
 		var changed []balancer.Action
 		for _, action := range actions {
-			changed = append(changed, change(w, action)...)
+			changed = append(changed, change(s, action)...)
 		}
 		return changed
 	}
 }
 
 // mutateSends replaces each Send.
-func mutateSends(change func(*world, balancer.Send) []balancer.Action) mutation {
-	return mutateEach(func(w *world, action balancer.Action) []balancer.Action {
+func mutateSends(change func(*simulation, balancer.Send) []balancer.Action) mutation {
+	return mutateEach(func(s *simulation, action balancer.Action) []balancer.Action {
 		if send, ok := action.(balancer.Send); ok {
-			return change(w, send)
+			return change(s, send)
 		}
 		return []balancer.Action{action}
 	})
 }
 
 // redirectSends sends each attempt to the last listed endpoint for which the condition holds.
-func redirectSends(condition func(*world, *worldEndpoint) bool) mutation {
-	return mutateSends(func(w *world, send balancer.Send) []balancer.Action {
-		for _, id := range w.endpointIDs {
-			if condition(w, w.endpoints[id]) {
+func redirectSends(condition func(*simulation, *simulatedEndpoint) bool) mutation {
+	return mutateSends(func(s *simulation, send balancer.Send) []balancer.Action {
+		for _, id := range s.endpointIDs {
+			if condition(s, s.endpoints[id]) {
 				send.Endpoint = id
 			}
 		}
@@ -97,9 +97,9 @@
 }
 
 // toAnother returns the attempt with another endpoint that is ready.
-func toAnother(w *world, send balancer.Send) balancer.Send {
-	for _, id := range w.endpointIDs {
-		if id != send.Endpoint && w.endpoints[id].notReadySince == 0 {
+func toAnother(s *simulation, send balancer.Send) balancer.Send {
+	for _, id := range s.endpointIDs {
+		if id != send.Endpoint && s.endpoints[id].notReadySince == 0 {
 			send.Endpoint = id
 			return send
 		}
@@ -108,81 +108,81 @@
 }
 
 // sendTwice sends each attempt to another endpoint as well.
-var sendTwice = mutateSends(func(w *world, send balancer.Send) []balancer.Action {
-	return []balancer.Action{send, toAnother(w, send)}
+var sendTwice = mutateSends(func(s *simulation, send balancer.Send) []balancer.Action {
+	return []balancer.Action{send, toAnother(s, send)}
 })
 
-// The checks of the world find each kind of violation: here actions are broken in each way that the rules forbid.
+// the checks of the simulation find each kind of violation: here actions are broken in each way that the rules forbid.
 func TestViolationsAreFound(t *testing.T) {
 	for _, c := range []struct {
 		want   string // part of the violation
 		mutate mutation
 	}{
-		{"no answer in time", mutateEach(func(_ *world, action balancer.Action) []balancer.Action {
+		{"no answer in time", mutateEach(func(_ *simulation, action balancer.Action) []balancer.Action {
 			switch action.(type) {
 			case balancer.Fail, balancer.Reject:
 				return nil
 			}
 			return []balancer.Action{action}
 		})},
-		{"second final answer", mutateEach(func(_ *world, action balancer.Action) []balancer.Action {
+		{"second final answer", mutateEach(func(_ *simulation, action balancer.Action) []balancer.Action {
 			if fail, ok := action.(balancer.Fail); ok {
 				return []balancer.Action{action, fail}
 			}
 			return []balancer.Action{action}
 		})},
-		{"never listed", mutateSends(func(_ *world, send balancer.Send) []balancer.Action {
+		{"never listed", mutateSends(func(_ *simulation, send balancer.Send) []balancer.Action {
 			send.Endpoint = 12345
 			return []balancer.Action{send}
 		})},
-		{"drains or was removed", redirectSends(func(_ *world, endpoint *worldEndpoint) bool {
+		{"drains or was removed", redirectSends(func(_ *simulation, endpoint *simulatedEndpoint) bool {
 			return endpoint.notReadySince > 0
 		})},
 		{"not idempotent sent again", sendTwice},
 		{"two attempts in flight", sendTwice},
 		{"outside its scope or window", sendTwice},
-		{"more than", mutateSends(func(_ *world, send balancer.Send) []balancer.Action {
+		{"more than", mutateSends(func(_ *simulation, send balancer.Send) []balancer.Action {
 			return []balancer.Action{send, send, send, send, send, send}
 		})},
-		{"for a request that is over", mutateEach(func(w *world, action balancer.Action) []balancer.Action {
+		{"for a request that is over", mutateEach(func(s *simulation, action balancer.Action) []balancer.Action {
 			if reject, ok := action.(balancer.Reject); ok {
-				return []balancer.Action{action, balancer.Send{ID: reject.ID, Endpoint: w.endpointIDs[0]}}
+				return []balancer.Action{action, balancer.Send{ID: reject.ID, Endpoint: s.endpointIDs[0]}}
 			}
 			return []balancer.Action{action}
 		})},
-		{"rejected although", mutateEach(func(_ *world, action balancer.Action) []balancer.Action {
+		{"rejected although", mutateEach(func(_ *simulation, action balancer.Action) []balancer.Action {
 			if fail, ok := action.(balancer.Fail); ok {
 				return []balancer.Action{balancer.Reject{ID: fail.ID}}
 			}
 			return []balancer.Action{action}
 		})},
-		{"its budget is", redirectSends(func(w *world, endpoint *worldEndpoint) bool {
-			young := w.now-endpoint.StartedAt < 2*time.Second
+		{"its budget is", redirectSends(func(s *simulation, endpoint *simulatedEndpoint) bool {
+			young := s.now-endpoint.StartedAt < 2*time.Second
 			return endpoint.startKnown && endpoint.notReadySince == 0 && young
 		})},
-		{"not allowed for", mutateSends(func(w *world, send balancer.Send) []balancer.Action {
-			return []balancer.Action{toAnother(w, send)}
+		{"not allowed for", mutateSends(func(s *simulation, send balancer.Send) []balancer.Action {
+			return []balancer.Action{toAnother(s, send)}
 		})},
-		{"left open", mutateEach(func(_ *world, action balancer.Action) []balancer.Action {
+		{"left open", mutateEach(func(_ *simulation, action balancer.Action) []balancer.Action {
 			if _, ok := action.(balancer.CloseIdleConnections); ok {
 				return nil
 			}
 			return []balancer.Action{action}
 		})},
-		{"cancel", mutateSends(func(_ *world, send balancer.Send) []balancer.Action {
+		{"cancel", mutateSends(func(_ *simulation, send balancer.Send) []balancer.Action {
 			return []balancer.Action{send, balancer.CancelAttempt{ID: send.ID, Attempt: 9}}
 		})},
-		{"forbidden health check", mutateEach(func(w *world, action balancer.Action) []balancer.Action {
-			return []balancer.Action{action, balancer.HealthCheck{Endpoint: w.endpointIDs[0]}}
+		{"forbidden health check", mutateEach(func(s *simulation, action balancer.Action) []balancer.Action {
+			return []balancer.Action{action, balancer.HealthCheck{Endpoint: s.endpointIDs[0]}}
 		})},
-		{"forbidden message", mutateEach(func(_ *world, action balancer.Action) []balancer.Action {
+		{"forbidden message", mutateEach(func(_ *simulation, action balancer.Action) []balancer.Action {
 			return []balancer.Action{action, balancer.SendMessage{ToAll: true}}
 		})},
 	} {
 		found := false
 		for seed := int64(1); seed <= 25 && !found; seed++ {
-			w := play(seed, 10*time.Second, c.mutate)
-			found = strings.Contains(fmt.Sprint(w.violations), c.want)
+			s := simulate(seed, 10*time.Second, c.mutate)
+			found = strings.Contains(fmt.Sprint(s.violations), c.want)
 		}
 		if !found {
 			t.Errorf("actions broken so that %q were not found", c.want)
--- a/balancer/slowstart_behaviour_test.go
+++ b/balancer/slowstart_behaviour_test.go
@@ -16,7 +16,7 @@
 	h.run(10*time.Second, 60, "ordinary")
 	lost := func(id balancer.EndpointID) bool { return id > 4 }
 	healthy := h.respond
-	h.failing(time.Hour, balancer.TimedOut, lost)
+	h.failWith(time.Hour, balancer.TimedOut, lost)
 	h.run(2*time.Second, 120, "ordinary")
 	h.resetCounts()
 	h.run(5*time.Second, 120, "ordinary")
--- a/balancer/world_test.go
+++ b/balancer/world_test.go
@@ -9,22 +9,22 @@
 	"bankshift/balancer"
 )
 
-// world drives one Balancer through legal but unkind events, drawn at random, and checks the rules on each action with
+// simulation drives one Balancer through legal but unkind events, drawn at random, and checks the rules on each action with
 // code of its own: nothing here uses more of the package than its interface.
-type world struct {
+type simulation struct {
 	settings balancer.Settings
 	capacity float64 // requests per second, of a warm endpoint, that this node may send it
 	rng      *rand.Rand
 	balancer *balancer.Balancer
-	mutate   func(*world, []balancer.Action) []balancer.Action // breaks the balancer's actions; nil: left as they are
+	mutate   func(*simulation, []balancer.Action) []balancer.Action // breaks the balancer's actions; nil: left as they are
 
-	now      time.Duration
-	queue    []futureEvent
-	order    int // of the last event that was scheduled
-	lastName int // used in the IDs of requests and endpoints
+	now    time.Duration
+	queue  []futureEvent
+	order  int // of the last event that was scheduled
+	lastID int // used in the IDs of requests and endpoints
 
-	requests    map[balancer.RequestID]*worldRequest
-	endpoints   map[balancer.EndpointID]*worldEndpoint
+	requests    map[balancer.RequestID]*simulatedRequest
+	endpoints   map[balancer.EndpointID]*simulatedEndpoint
 	endpointIDs []balancer.EndpointID // in order of their listing
 	sentAt      map[balancer.EndpointID][]time.Duration
 
@@ -32,16 +32,16 @@
 	violations []string // of the rules
 }
 
-// worldRequest is a request as the world knows it.
-type worldRequest struct {
+// simulatedRequest is a request as the simulation knows it.
+type simulatedRequest struct {
 	class     balancer.Class
 	deadline  time.Duration
-	attempts  []worldAttempt
+	attempts  []simulatedAttempt
 	answered  bool // it has its final answer, or needs none
 	streaming bool
 }
 
-type worldAttempt struct {
+type simulatedAttempt struct {
 	endpoint balancer.EndpointID
 	sentAt   time.Duration
 	ended    bool
@@ -49,12 +49,12 @@
 }
 
 // neverRan reports whether the outcome proves that the attempt never ran.
-func (a worldAttempt) neverRan() bool {
+func (a simulatedAttempt) neverRan() bool {
 	return a.ended && (a.outcome == balancer.Rejected || a.outcome == balancer.ConnectFailed || a.outcome == balancer.NotSent)
 }
 
-// worldEndpoint is an endpoint as the last update of the node had it.
-type worldEndpoint struct {
+// simulatedEndpoint is an endpoint as the last update of the node had it.
+type simulatedEndpoint struct {
 	balancer.Endpoint
 	notReadySince time.Duration // when an update first had it draining or removed; 0: it is ready
 	startKnown    bool          // an update had its start
@@ -68,247 +68,247 @@
 	event balancer.Event
 }
 
-// newWorld draws the settings and starts the node.
-func newWorld(seed int64) *world {
-	w := &world{
+// newSimulation draws the settings and starts the node.
+func newSimulation(seed int64) *simulation {
+	s := &simulation{
 		rng:       rand.New(rand.NewSource(seed)),
 		now:       time.Hour,
-		endpoints: map[balancer.EndpointID]*worldEndpoint{},
+		endpoints: map[balancer.EndpointID]*simulatedEndpoint{},
 		sentAt:    map[balancer.EndpointID][]time.Duration{},
 	}
-	w.settings = w.drawSettings()
-	for range 1 + w.rng.Intn(4) {
-		w.settings.Classes = append(w.settings.Classes, w.drawClass(fmt.Sprint("c", len(w.settings.Classes))))
+	s.settings = s.drawSettings()
+	for range 1 + s.rng.Intn(4) {
+		s.settings.Classes = append(s.settings.Classes, s.drawClass(fmt.Sprint("c", len(s.settings.Classes))))
 	}
-	if w.rng.Intn(3) == 0 {
-		w.settings.Tenants = []balancer.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
+	if s.rng.Intn(3) == 0 {
+		s.settings.Tenants = []balancer.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
 	}
-	w.start()
-	return w
+	s.start()
+	return s
 }
 
 // drawDuration draws a whole number of milliseconds, at least low and less than high.
-func (w *world) drawDuration(low, high int) time.Duration {
-	return time.Duration(low+w.rng.Intn(high-low)) * time.Millisecond
+func (s *simulation) drawDuration(low, high int) time.Duration {
+	return time.Duration(low+s.rng.Intn(high-low)) * time.Millisecond
 }
 
-func (w *world) drawBool() bool { return w.rng.Intn(2) == 0 }
+func (s *simulation) drawBool() bool { return s.rng.Intn(2) == 0 }
 
 // drawSettings draws settings without classes and tenants.
-func (w *world) drawSettings() balancer.Settings {
+func (s *simulation) drawSettings() balancer.Settings {
 	return balancer.Settings{
-		Nodes:               1 + w.rng.Intn(6),
+		Nodes:               1 + s.rng.Intn(6),
 		Zone:                "z0",
-		MaxAttempts:         1 + w.rng.Intn(5),
-		HedgingAllowed:      w.drawBool(),
-		CancelAllowed:       w.rng.Intn(3) > 0,
-		HealthChecksAllowed: w.drawBool(),
-		LoadReportSource:    balancer.LoadReportSource(w.rng.Intn(3)),
-		GossipAllowed:       w.drawBool(),
-		RetryAfterAllowed:   w.drawBool(),
+		MaxAttempts:         1 + s.rng.Intn(5),
+		HedgingAllowed:      s.drawBool(),
+		CancelAllowed:       s.rng.Intn(3) > 0,
+		HealthChecksAllowed: s.drawBool(),
+		LoadReportSource:    balancer.LoadReportSource(s.rng.Intn(3)),
+		GossipAllowed:       s.drawBool(),
+		RetryAfterAllowed:   s.drawBool(),
 		MaxRetryAfter:       time.Second,
 		ConnectTimeout:      100 * time.Millisecond,
 		MinEventInterval:    5 * time.Millisecond,
-		EndpointsOnDemand:   w.drawBool(),
+		EndpointsOnDemand:   s.drawBool(),
 		ResponseSlack:       20 * time.Millisecond,
 		PollInterval:        10 * time.Second,
-		DrainGrace:          w.drawDuration(0, 1000),
-		DrainCloseTimeout:   time.Duration(w.rng.Intn(2)) * w.drawDuration(20, 500),
+		DrainGrace:          s.drawDuration(0, 1000),
+		DrainCloseTimeout:   time.Duration(s.rng.Intn(2)) * s.drawDuration(20, 500),
 		SlowStartCapacity:   0.3,
-		SlowStartDuration:   w.drawDuration(3000, 9000),
+		SlowStartDuration:   s.drawDuration(3000, 9000),
 		OverloadFactor:      2.5,
 		OverloadDuration:    time.Second,
 	}
 }
 
-func (w *world) drawClass(name string) balancer.Class {
-	objective := w.drawDuration(100, 1500)
+func (s *simulation) drawClass(name string) balancer.Class {
+	objective := s.drawDuration(100, 1500)
 	zones := [][]string{nil, nil, {"z0"}, {"z1", "z0"}, {}}
 	machineTypes := [][]string{nil, nil, nil, {"k1"}}
 	return balancer.Class{
 		Name:                name,
-		PriorityWeight:      float64(w.rng.Intn(13)),
+		PriorityWeight:      float64(s.rng.Intn(13)),
 		LatencyObjective:    objective,
-		Deadline:            2*objective + w.drawDuration(0, 2000),
-		LateWeight:          float64(w.rng.Intn(2)) / 2,
-		Idempotency:         balancer.Idempotency(w.rng.Intn(3)),
-		DeduplicationScope:  balancer.DeduplicationScope(w.rng.Intn(3)),
-		DeduplicationWindow: w.drawDuration(100, 4000),
-		Streamed:            w.rng.Intn(4) == 0,
-		AllowedZones:        zones[w.rng.Intn(5)],
-		AllowedMachineTypes: machineTypes[w.rng.Intn(4)],
+		Deadline:            2*objective + s.drawDuration(0, 2000),
+		LateWeight:          float64(s.rng.Intn(2)) / 2,
+		Idempotency:         balancer.Idempotency(s.rng.Intn(3)),
+		DeduplicationScope:  balancer.DeduplicationScope(s.rng.Intn(3)),
+		DeduplicationWindow: s.drawDuration(100, 4000),
+		Streamed:            s.rng.Intn(4) == 0,
+		AllowedZones:        zones[s.rng.Intn(5)],
+		AllowedMachineTypes: machineTypes[s.rng.Intn(4)],
 	}
 }
 
 // start starts the node, with the endpoint list as it last had it.
-func (w *world) start() {
-	w.balancer = balancer.New(w.settings, w.rng.Int63())
-	w.requests = map[balancer.RequestID]*worldRequest{}
-	w.queue = nil
-	entries := w.listed()
+func (s *simulation) start() {
+	s.balancer = balancer.New(s.settings, s.rng.Int63())
+	s.requests = map[balancer.RequestID]*simulatedRequest{}
+	s.queue = nil
+	entries := s.listed()
 	for len(entries) < 4 {
-		entries = append(entries, w.newEndpoint(0))
+		entries = append(entries, s.newEndpoint(0))
 	}
-	w.endpoints = map[balancer.EndpointID]*worldEndpoint{}
-	w.endpointIDs = nil
-	w.update(balancer.CachedUpdate, entries)
+	s.endpoints = map[balancer.EndpointID]*simulatedEndpoint{}
+	s.endpointIDs = nil
+	s.update(balancer.CachedUpdate, entries)
 }
 
 // listed returns the endpoint list by the updates so far.
-func (w *world) listed() []balancer.Endpoint {
+func (s *simulation) listed() []balancer.Endpoint {
 	var entries []balancer.Endpoint
-	for _, id := range w.endpointIDs {
-		if endpoint := w.endpoints[id].Endpoint; endpoint.State != balancer.Removed {
+	for _, id := range s.endpointIDs {
+		if endpoint := s.endpoints[id].Endpoint; endpoint.State != balancer.Removed {
 			entries = append(entries, endpoint)
 		}
 	}
 	return entries
 }
 
-func (w *world) newEndpoint(startedAt time.Duration) balancer.Endpoint {
-	w.lastName++
+func (s *simulation) newEndpoint(startedAt time.Duration) balancer.Endpoint {
+	s.lastID++
 	return balancer.Endpoint{
-		ID:          balancer.EndpointID(w.lastName*2654435761 + 1),
-		Zone:        fmt.Sprint("z", w.rng.Intn(2)),
-		MachineType: fmt.Sprint("k", w.rng.Intn(2)),
-		Cell:        w.rng.Intn(3),
+		ID:          balancer.EndpointID(s.lastID*2654435761 + 1),
+		Zone:        fmt.Sprint("z", s.rng.Intn(2)),
+		MachineType: fmt.Sprint("k", s.rng.Intn(2)),
+		Cell:        s.rng.Intn(3),
 		Weight:      1,
 		StartedAt:   startedAt,
 	}
 }
 
 // run plays some time with so many arrivals per second. The node may be restarted in between if restarts is set.
-func (w *world) run(duration time.Duration, rate float64, restarts bool) {
+func (s *simulation) run(duration time.Duration, rate float64, restarts bool) {
 	const step = 5 * time.Millisecond
-	for end := w.now + duration; w.now < end; w.now += step {
-		w.deliverDue()
+	for end := s.now + duration; s.now < end; s.now += step {
+		s.deliverDue()
 		for n := rate * step.Seconds(); n > 0; n-- {
-			if w.rng.Float64() < n {
-				w.arrive()
+			if s.rng.Float64() < n {
+				s.arrive()
 			}
 		}
-		if w.rng.Intn(150) == 0 {
-			w.changeEndpoints()
+		if s.rng.Intn(150) == 0 {
+			s.changeEndpoints()
 		}
-		if restarts && w.rng.Intn(1500) == 0 {
-			w.start()
+		if restarts && s.rng.Intn(1500) == 0 {
+			s.start()
 		}
-		w.checkConnectionsClosed()
-		w.checkAnswered(step)
+		s.checkConnectionsClosed()
+		s.checkAnswered(step)
 	}
 }
 
 // deliverDue hands over the events that are due, in order.
-func (w *world) deliverDue() {
-	slices.SortStableFunc(w.queue, func(x, y futureEvent) int {
+func (s *simulation) deliverDue() {
+	slices.SortStableFunc(s.queue, func(x, y futureEvent) int {
 		if x.at != y.at {
 			return int(x.at - y.at)
 		}
 		return x.order - y.order
 	})
-	for len(w.queue) > 0 && w.queue[0].at <= w.now {
-		next := w.queue[0]
-		w.queue = w.queue[1:]
-		w.deliver(next.event)
+	for len(s.queue) > 0 && s.queue[0].at <= s.now {
+		next := s.queue[0]
+		s.queue = s.queue[1:]
+		s.deliver(next.event)
 	}
 }
 
 // deliver hands an event over if it can still happen: one outcome for each attempt, none that a restarted node has
 // forgotten, and nothing for a request that was answered.
-func (w *world) deliver(event balancer.Event) {
+func (s *simulation) deliver(event balancer.Event) {
 	switch event := event.(type) {
 	case balancer.AttemptEnded:
-		request := w.requests[event.ID]
+		request := s.requests[event.ID]
 		if request == nil || request.attempts[event.Attempt].ended {
 			return
 		}
 		attempt := &request.attempts[event.Attempt]
 		attempt.ended = true
 		attempt.outcome = event.Outcome
-		w.endpoints[attempt.endpoint].usedAt = w.now
+		s.endpoints[attempt.endpoint].usedAt = s.now
 		request.answered = request.answered || event.Outcome == balancer.OK
 		event.RequestDone = request.answered
-		w.handle(event)
+		s.handle(event)
 		return
 	case balancer.StreamStarted:
-		request := w.requests[event.ID]
+		request := s.requests[event.ID]
 		if request == nil || request.answered || request.attempts[event.Attempt].ended {
 			return
 		}
 		request.streaming = true
 	case balancer.RequestAbandoned:
-		request := w.requests[event.ID]
+		request := s.requests[event.ID]
 		if request == nil || request.answered {
 			return
 		}
 		request.answered = true
 	}
-	w.handle(event)
+	s.handle(event)
 }
 
 // handle hands an event over and carries out the actions.
-func (w *world) handle(event balancer.Event) {
-	actions := w.balancer.Handle(w.now, event)
-	w.actions = append(w.actions, fmt.Sprintf("%#v", actions))
-	if w.mutate != nil {
-		actions = w.mutate(w, actions)
+func (s *simulation) handle(event balancer.Event) {
+	actions := s.balancer.Handle(s.now, event)
+	s.actions = append(s.actions, fmt.Sprintf("%#v", actions))
+	if s.mutate != nil {
+		actions = s.mutate(s, actions)
 	}
 	for _, action := range actions {
-		w.carryOut(action)
+		s.carryOut(action)
 	}
 }
 
 // schedule hands an event over later, no sooner than MinEventInterval.
-func (w *world) schedule(after time.Duration, event balancer.Event) {
-	w.order++
-	at := w.now + max(after, w.settings.MinEventInterval)
-	w.queue = append(w.queue, futureEvent{at: at, order: w.order, event: event})
+func (s *simulation) schedule(after time.Duration, event balancer.Event) {
+	s.order++
+	at := s.now + max(after, s.settings.MinEventInterval)
+	s.queue = append(s.queue, futureEvent{at: at, order: s.order, event: event})
 }
 
 // arrive hands over a new request.
-func (w *world) arrive() {
-	w.lastName++
-	id := balancer.RequestID(fmt.Sprintf("%036d", w.lastName))
-	class := w.settings.Classes[w.rng.Intn(len(w.settings.Classes))]
-	timeout := time.Duration(float64(class.Deadline) * (0.3 + 0.7*w.rng.Float64()))
-	if w.rng.Intn(50) == 0 {
+func (s *simulation) arrive() {
+	s.lastID++
+	id := balancer.RequestID(fmt.Sprintf("%036d", s.lastID))
+	class := s.settings.Classes[s.rng.Intn(len(s.settings.Classes))]
+	timeout := time.Duration(float64(class.Deadline) * (0.3 + 0.7*s.rng.Float64()))
+	if s.rng.Intn(50) == 0 {
 		timeout = 0
 	}
-	w.requests[id] = &worldRequest{class: class, deadline: w.now + timeout}
-	if w.rng.Intn(40) == 0 {
-		w.schedule(timeout/2, balancer.RequestAbandoned{ID: id})
+	s.requests[id] = &simulatedRequest{class: class, deadline: s.now + timeout}
+	if s.rng.Intn(40) == 0 {
+		s.schedule(timeout/2, balancer.RequestAbandoned{ID: id})
 	}
 	event := balancer.RequestArrived{ID: id, Class: class.Name, Timeout: timeout}
-	if len(w.settings.Tenants) > 0 {
-		event.Tenant = w.settings.Tenants[w.rng.Intn(len(w.settings.Tenants))].Name
+	if len(s.settings.Tenants) > 0 {
+		event.Tenant = s.settings.Tenants[s.rng.Intn(len(s.settings.Tenants))].Name
 	}
-	w.handle(event)
+	s.handle(event)
 }
 
 // update hands over an update of the endpoint list and records what it says.
-func (w *world) update(kind balancer.UpdateKind, entries []balancer.Endpoint) {
+func (s *simulation) update(kind balancer.UpdateKind, entries []balancer.Endpoint) {
 	named := map[balancer.EndpointID]bool{}
 	for _, entry := range entries {
 		named[entry.ID] = true
-		w.recordEntry(entry)
+		s.recordEntry(entry)
 	}
 	if kind != balancer.IncrementalUpdate {
-		for _, id := range w.endpointIDs {
-			if endpoint := w.endpoints[id]; !named[id] && endpoint.notReadySince == 0 {
-				endpoint.notReadySince = w.now
+		for _, id := range s.endpointIDs {
+			if endpoint := s.endpoints[id]; !named[id] && endpoint.notReadySince == 0 {
+				endpoint.notReadySince = s.now
 				endpoint.State = balancer.Removed
 			}
 		}
 	}
-	w.handle(balancer.EndpointUpdate{Kind: kind, Endpoints: entries})
+	s.handle(balancer.EndpointUpdate{Kind: kind, Endpoints: entries})
 }
 
-func (w *world) recordEntry(entry balancer.Endpoint) {
-	endpoint := w.endpoints[entry.ID]
+func (s *simulation) recordEntry(entry balancer.Endpoint) {
+	endpoint := s.endpoints[entry.ID]
 	if endpoint == nil {
-		endpoint = &worldEndpoint{}
-		w.endpoints[entry.ID] = endpoint
-		w.endpointIDs = append(w.endpointIDs, entry.ID)
+		endpoint = &simulatedEndpoint{}
+		s.endpoints[entry.ID] = endpoint
+		s.endpointIDs = append(s.endpointIDs, entry.ID)
 	}
 	endpoint.Endpoint = entry
 	ready := entry.State == balancer.Ready
@@ -317,32 +317,32 @@
 	case ready:
 		endpoint.notReadySince = 0
 	case endpoint.notReadySince == 0:
-		endpoint.notReadySince = w.now
-		endpoint.usedAt = w.now
+		endpoint.notReadySince = s.now
+		endpoint.usedAt = s.now
 	}
 }
 
 // changeEndpoints hands over a random change of the endpoint list.
-func (w *world) changeEndpoints() {
-	entry := w.endpoints[w.endpointIDs[w.rng.Intn(len(w.endpointIDs))]].Endpoint
-	switch w.rng.Intn(6) {
+func (s *simulation) changeEndpoints() {
+	entry := s.endpoints[s.endpointIDs[s.rng.Intn(len(s.endpointIDs))]].Endpoint
+	switch s.rng.Intn(6) {
 	case 0:
 		entry.State = balancer.Draining
 	case 1:
 		entry.State = balancer.Removed
 	case 2:
 		entry.State = balancer.Ready
-		entry.StartedAt = w.now
+		entry.StartedAt = s.now
 	case 3:
-		entry = w.newEndpoint(w.now)
+		entry = s.newEndpoint(s.now)
 	case 4:
-		w.update(balancer.FullUpdate, w.listed())
+		s.update(balancer.FullUpdate, s.listed())
 		return
 	case 5:
-		if w.settings.EndpointsOnDemand {
-			w.handle(balancer.EndpointUpdate{Kind: balancer.FailedUpdate})
+		if s.settings.EndpointsOnDemand {
+			s.handle(balancer.EndpointUpdate{Kind: balancer.FailedUpdate})
 		}
 		return
 	}
-	w.update(balancer.IncrementalUpdate, []balancer.Endpoint{entry})
+	s.update(balancer.IncrementalUpdate, []balancer.Endpoint{entry})
 }
