--- a/balancer/action.go
+++ b/balancer/action.go
@@ -45,12 +45,12 @@
 	FetchEndpoints struct{}
 	// CloseIdleConnections closes this node's idle connections to an endpoint.
 	CloseIdleConnections struct{ Endpoint EndpointID }
-	// EndpointEjected is logged: an endpoint gets only trial requests from now on.
+	// EndpointEjected asks for a log entry: an endpoint gets only trial requests from now on.
 	EndpointEjected struct {
 		Endpoint EndpointID
 		Reason   string
 	}
-	// EndpointRecovered is logged: an ejected endpoint has served a request.
+	// EndpointRecovered asks for a log entry: an ejected endpoint has served a request.
 	EndpointRecovered struct {
 		Endpoint  EndpointID
 		SlowStart bool // the endpoint warms up, as it may have restarted
--- a/balancer/backoff_test.go
+++ b/balancer/backoff_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// Guards against waits that do not double, that exceed the maximum, or that do not start again after a reset.
 func TestBackoff(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -28,7 +28,7 @@
 // tickInterval is the time between two rounds of periodic work: well under any latency objective.
 const tickInterval = 25 * time.Millisecond
 
-// Balancer decides for one node. It is not safe for concurrent use.
+// Balancer makes the decisions of one node. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
 	rng      random
--- a/balancer/benchmark_test.go
+++ b/balancer/benchmark_test.go
@@ -8,9 +8,10 @@
 	"bankshift/balancer"
 )
 
-const benchmarkRequests = 2000 // that a benchmark's node has served before
+const benchmarkRequests = 2000 // requests that the node serves before a benchmark begins
 
-// benchmarkNode returns one of 30 nodes that has learned from some traffic, its endpoint list and the time.
+// benchmarkNode returns the balancer of one of 30 nodes, its endpoint list and the time, after benchmarkRequests served
+// requests.
 func benchmarkNode(endpoints int) (*balancer.Balancer, []balancer.Endpoint, balancer.Time) {
 	settings := balancer.Settings{Nodes: 30, MaxAttempts: 3, CancelAllowed: true, MinEventInterval: 5 * time.Millisecond,
 		SlowStartCapacity: 0.3, SlowStartDuration: 8 * time.Second, OverloadFactor: 2.5, ConnectTimeout: 100 * time.Millisecond,
@@ -33,7 +34,7 @@
 	return node, update.Endpoints, now
 }
 
-// serveRequest plays a request that is served at its first attempt.
+// serveRequest delivers a request that is served at its first attempt.
 func serveRequest(node *balancer.Balancer, now balancer.Time, number int) {
 	id := balancer.RequestID(fmt.Sprint(number))
 	for _, action := range node.Handle(now, balancer.RequestArrived{ID: id, Class: "page", Timeout: time.Second}) {
@@ -43,7 +44,7 @@
 	}
 }
 
-// BenchmarkTick measures a round of periodic work.
+// BenchmarkTick measures one round of periodic work.
 func BenchmarkTick(b *testing.B) {
 	for _, endpoints := range []int{60, 1000} {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
@@ -78,7 +79,7 @@
 	}
 }
 
-// BenchmarkServedRequest measures a request from its arrival to its response, one node of 30.
+// BenchmarkServedRequest measures one request from its arrival to its response, at one of 30 nodes.
 func BenchmarkServedRequest(b *testing.B) {
 	for _, endpoints := range []int{60, 1000} {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Endpoints are replaced for months: those that were removed are forgotten, and so are requests.
+// Guards against a memory leak in a node that runs for months while endpoints are replaced: removed endpoints and
+// finished requests must be forgotten.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	node := newCheckingNode(lowHealthCheckCost)
 	for i := range 5000 {
@@ -20,7 +21,8 @@
 	}
 	if len(node.endpointsByID) > 25 || len(node.endpoints) > 25 ||
 		len(node.requests) > 2 || len(node.openRequests) > 2 || len(node.awaitingChecks) > 2 {
-		t.Errorf("%d endpoints known, %d requests, %d open, %d awaiting health checks",
-			len(node.endpointsByID), len(node.requests), len(node.openRequests), len(node.awaitingChecks))
+		t.Errorf("%d endpoints known, %d listed; %d requests known, %d open, %d awaiting health checks; want few",
+			len(node.endpointsByID), len(node.endpoints), len(node.requests), len(node.openRequests),
+			len(node.awaitingChecks))
 	}
 }
--- a/balancer/event.go
+++ b/balancer/event.go
@@ -54,7 +54,7 @@
 const (
 	// OK means that the endpoint served the request.
 	OK Outcome = iota
-	// ServerError means that the endpoint responded with an error; the request may have run.
+	// ServerError means that the endpoint failed to serve the request; the request may have run.
 	ServerError
 	// Rejected means that the endpoint rejected the request without executing it.
 	Rejected
@@ -107,7 +107,7 @@
 
 // Events.
 type (
-	// RequestArrived is a new request. The balancer gives it exactly one final answer: a Send whose attempt is served,
+	// RequestArrived is a new request. The balancer must give it one final answer: a Send whose attempt is served,
 	// Reject or Fail.
 	RequestArrived struct {
 		ID          RequestID
@@ -126,7 +126,7 @@
 		Version   uint64
 		Endpoints []Endpoint
 	}
-	// AttemptEnded is the outcome of an attempt. Each Send is followed by exactly one.
+	// AttemptEnded is the outcome of an attempt. Each Send is followed by one.
 	AttemptEnded struct {
 		ID          RequestID
 		Attempt     int
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"bankshift/balancer"
 )
 
-// A node hands an arrived request to its balancer and carries out the actions.
+// A node passes an arrived request to its balancer and carries out the resulting actions.
 func Example() {
 	node := balancer.New(balancer.Settings{
 		Nodes:             1,
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -11,28 +11,28 @@
 // step is the resolution of the harness's clock.
 const step = 5 * time.Millisecond
 
-// inTimeLimit is the latency, over all tries of a client, up to which harness.inTime counts a response.
+// inTimeLimit is the latency, over all tries of a client, below which harness.inTime counts a response.
 const inTimeLimit = 600 * time.Millisecond
 
-// harness drives one Balancer on a virtual clock, with endpoints whose latency and outcome the test sets, and clients
-// that may try again.
+// harness runs one Balancer on a virtual clock, with simulated endpoints whose latency and outcome the test sets, and
+// simulated clients that may try again.
 type harness struct {
 	balancer *balancer.Balancer
 	now      time.Duration
-	events   []scheduledEvent // to come, in order of their scheduling
+	events   []scheduledEvent // not yet delivered, in the order in which they were scheduled
 
 	// Set by the test at any time.
 	respond       func(balancer.EndpointID) (latency time.Duration, outcome balancer.Outcome)
-	work          func(balancer.RequestID) time.Duration // added to the latency
-	clientTimeout time.Duration                          // of a client, over all its tries
-	retries       int                                    // of a rejected client, each after its Retry-After
+	work          func(balancer.RequestID) time.Duration // added to the latency of each attempt
+	clientTimeout time.Duration                          // how long a client waits, over all its tries
+	retries       int                                    // most retries of a rejected client, each after its Retry-After
 
-	// Requests.
-	arrivals     int                                    // so far; a request's ID is its class and number
-	arrivedAt    map[balancer.RequestID]time.Duration   // of a client's first try
-	attempts     map[balancer.RequestID]int             // sent so far
-	answered     map[balancer.RequestID]bool            // they have their final answers
-	finalActions map[balancer.RequestID]balancer.Action // Reject or Fail
+	// Requests. The ID of a client's first try is its class and number; retries append "/x", "/xx" and so on.
+	arrivals     int                                    // clients so far
+	arrivedAt    map[balancer.RequestID]time.Duration   // arrival of each client's first try
+	attempts     map[balancer.RequestID]int             // attempts sent so far
+	answered     map[balancer.RequestID]bool            // requests that have their final answers
+	finalActions map[balancer.RequestID]balancer.Action // the Reject or Fail of each request that had one
 
 	// Counts since the start or the last resetCounts.
 	sent     map[balancer.EndpointID]int
@@ -41,9 +41,9 @@
 
 	// Counts since the start or the test's last reset of them.
 	inTime      map[string]int  // responses within inTimeLimit, by class
-	retryAfters []time.Duration // of the rejections
-	logActions  int
-	polls       int
+	retryAfters []time.Duration // Retry-After of each rejection
+	logActions  int             // EndpointEjected and EndpointRecovered
+	polls       int             // Subscribe
 }
 
 type scheduledEvent struct {
@@ -51,7 +51,8 @@
 	event balancer.Event
 }
 
-// harnessSettings has an important and an ordinary class that may be sent again, and a class that may not.
+// harnessSettings returns settings with an important and an ordinary class whose requests are idempotent, and a class
+// "once" whose requests are not.
 func harnessSettings() balancer.Settings {
 	return balancer.Settings{
 		Nodes:             1,
@@ -111,14 +112,14 @@
 	return h
 }
 
-// resetCounts starts the counts of sends and answers anew.
+// resetCounts sets the counts of sends, rejections and failures to zero.
 func (h *harness) resetCounts() {
 	h.sent = map[balancer.EndpointID]int{}
 	h.rejected = 0
 	h.failed = 0
 }
 
-// sentTo is the number of sends to the endpoints for which it holds.
+// sentTo returns the number of sends to the matching endpoints.
 func (h *harness) sentTo(matches func(balancer.EndpointID) bool) int {
 	total := 0
 	for id, n := range h.sent {
@@ -129,14 +130,14 @@
 	return total
 }
 
-// totalSent is the number of sends to all endpoints.
+// totalSent returns the number of sends to all endpoints.
 func (h *harness) totalSent() int {
 	return h.sentTo(func(balancer.EndpointID) bool { return true })
 }
 
-// run plays some time with so many arrivals of a class per second.
+// run advances the clock by the duration, with rate arrivals of the class per second.
 func (h *harness) run(duration time.Duration, rate float64, class string) {
-	arrivals := 0.0 // due
+	arrivals := 0.0 // arrivals that are due, with a fraction
 	for end := h.now + duration; h.now < end; h.now += step {
 		for _, due := range h.takeDue() {
 			if ended, ok := due.event.(balancer.AttemptEnded); ok {
@@ -164,7 +165,7 @@
 	return due
 }
 
-// arrive hands over a client's first try.
+// arrive delivers a client's first try.
 func (h *harness) arrive(class string) {
 	h.arrivals++
 	id := balancer.RequestID(fmt.Sprint(class, h.arrivals))
@@ -172,7 +173,8 @@
 	h.handle(balancer.RequestArrived{ID: id, Class: class, Timeout: h.clientTimeout})
 }
 
-// recordResponse counts a response in time and notes in the event whether the request is answered with it.
+// recordResponse counts a response if it is in time, and returns the event with RequestDone set if the request has its
+// final answer.
 func (h *harness) recordResponse(ended balancer.AttemptEnded) balancer.AttemptEnded {
 	client, _, _ := strings.Cut(string(ended.ID), "/")
 	inTime := h.now-h.arrivedAt[balancer.RequestID(client)] < inTimeLimit
@@ -184,15 +186,15 @@
 	return ended
 }
 
-// classOf returns the class in a request's ID.
+// classOf returns the class in the ID of a client's first try.
 func classOf(client string) string { return strings.TrimRight(client, "0123456789") }
 
-// schedule hands an event over later.
+// schedule queues an event for delivery after the given time.
 func (h *harness) schedule(after time.Duration, event balancer.Event) {
 	h.events = append(h.events, scheduledEvent{h.now + after, event})
 }
 
-// handle hands an event over and carries out the actions.
+// handle passes an event to the balancer and carries out the resulting actions.
 func (h *harness) handle(event balancer.Event) {
 	for _, action := range h.balancer.Handle(h.now, event) {
 		switch action := action.(type) {
@@ -246,7 +248,7 @@
 	h.answered[reject.ID] = true
 	h.finalActions[reject.ID] = reject
 	h.retryAfters = append(h.retryAfters, reject.RetryAfter)
-	client, tries, _ := strings.Cut(string(reject.ID), "/") // one letter for each earlier retry
+	client, tries, _ := strings.Cut(string(reject.ID), "/") // tries has one letter for each earlier retry
 	waited := h.now + reject.RetryAfter - h.arrivedAt[balancer.RequestID(client)]
 	if len(tries) >= h.retries || waited >= h.clientTimeout {
 		return
--- a/balancer/healthcheck_test.go
+++ b/balancer/healthcheck_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// newCheckingNode returns one of 30 nodes with 20 endpoints, which checks their load before each send if a health check
-// costs little.
+// newCheckingNode returns the balancer of one of 30 nodes with 20 endpoints. It checks their load before each send if
+// the given cost of a health check is low.
 func newCheckingNode(healthCheckCost float64) *Balancer {
 	settings := Settings{
 		Nodes:               30,
@@ -40,7 +40,7 @@
 	highHealthCheckCost = 0.01
 )
 
-// pageRequest is a request for the class of newCheckingNode.
+// pageRequest returns a request of the class that newCheckingNode has.
 func pageRequest() RequestArrived {
 	return RequestArrived{ID: "a", Class: "page", Timeout: time.Second}
 }
@@ -49,13 +49,14 @@
 	return &LoadReport{InFlight: inFlight, HasInFlight: true, Queued: queued, HasQueued: true}
 }
 
-// One of many nodes does not know what the others have sent: it checks two endpoints and takes the one with less load.
+// Guards against sending without knowledge of the load that other nodes put on an endpoint: a node checks two endpoints
+// and sends to the less loaded one.
 func TestChecksTwoEndpointsAndTakesTheLessLoaded(t *testing.T) {
 	node := newCheckingNode(lowHealthCheckCost)
 	actions := node.Handle(time.Hour, pageRequest())
 	checked := healthChecks(actions)
 	if len(checked) != 2 || checked[0] == checked[1] || len(sends(actions)) > 0 {
-		t.Fatalf("%v", actions)
+		t.Fatalf("got actions %v, want health checks of two different endpoints and no send", actions)
 	}
 	actions = node.Handle(node.now, HealthCheckEnded{Endpoint: checked[0], Report: reportOf(2, 1)})
 	if len(sends(actions)) > 0 {
@@ -67,7 +68,8 @@
 	}
 }
 
-// A silent endpoint does not delay the request for long: it goes to the one that answers its health check.
+// Guards against a health check without a response that delays the request: after healthCheckTimeout, the request must
+// be sent to the endpoint that answered its health check.
 func TestHealthCheckTimesOut(t *testing.T) {
 	node := newCheckingNode(lowHealthCheckCost)
 	checked := healthChecks(node.Handle(time.Hour, pageRequest()))
@@ -78,39 +80,40 @@
 	}
 }
 
-// Two full endpoints may be chance: more are checked before the request is rejected, but not for ever.
+// Guards against rejecting a request because two endpoints happen to be full, and against checking endless others: more
+// endpoints are checked first, in at most maxHealthCheckRounds rounds.
 func TestMoreEndpointsAreCheckedIfTwoAreFull(t *testing.T) {
 	node := newCheckingNode(lowHealthCheckCost)
 	actions := node.Handle(time.Hour, pageRequest())
 	for round := 1; round <= maxHealthCheckRounds; round++ {
 		checked := healthChecks(actions)
 		if len(checked) != 2 {
-			t.Fatalf("round %d: %v", round, actions)
+			t.Fatalf("round %d: got actions %v, want two health checks", round, actions)
 		}
 		node.Handle(node.now, HealthCheckEnded{Endpoint: checked[0], Report: reportOf(30, 29)})
 		actions = node.Handle(node.now, HealthCheckEnded{Endpoint: checked[1], Report: reportOf(30, 29)})
 	}
 	if len(actions) != 1 || actions[0].(Reject).ID != "a" {
-		t.Errorf("after %d rounds: %v", maxHealthCheckRounds, actions)
+		t.Errorf("after %d rounds: got actions %v, want a rejection", maxHealthCheckRounds, actions)
 	}
 }
 
-// If health checks are expensive the node goes by its own counts. The result of one for an endpoint that is no longer
-// listed must not add it again.
+// Guards against costly health checks: if they are expensive, the node relies on its own counts. Also guards against
+// adding an endpoint that is not listed because a health check of it has ended.
 func TestNoHealthChecksIfExpensive(t *testing.T) {
 	node := newCheckingNode(highHealthCheckCost)
 	actions := node.Handle(time.Hour, pageRequest())
 	if len(healthChecks(actions)) > 0 || len(sends(actions)) != 1 {
-		t.Errorf("%v", actions)
+		t.Errorf("got actions %v, want one send and no health check", actions)
 	}
 	node.Handle(node.now, HealthCheckEnded{Endpoint: 999, Report: reportOf(0, 0)})
 	if node.endpointsByID[999] != nil {
-		t.Error("an endpoint that is not listed was added")
+		t.Error("endpoint 999, which is not listed, was added")
 	}
 }
 
-// Before a node has had responses there must be an H nevertheless: with no limit, a fleet at its capacity jams in its
-// first seconds, while every node still learns.
+// Guards against a node without a limit before its first responses: a fleet at its capacity would be overloaded in its
+// first seconds, while every node still learns. There must be a threshold H from the start.
 func TestThresholdBeforeAnyResponse(t *testing.T) {
 	node := newCheckingNode(lowHealthCheckCost)
 	node.serviceTime = ewma{}
@@ -119,15 +122,16 @@
 	endpoint := node.endpoints[0]
 	node.applyLoadReport(endpoint, reportOf(1, 0))
 	if node.updateMode(node.placements[0], endpoint) != Normal {
-		t.Error("one request is no overload")
+		t.Error("an endpoint that reports one request is not normal")
 	}
 	node.applyLoadReport(endpoint, reportOf(9, 8))
 	if node.updateMode(node.placements[0], endpoint) != Blocked {
-		t.Error("nine requests at an unknown endpoint do not block it")
+		t.Error("an endpoint that reports nine requests is not blocked")
 	}
 }
 
-// A heavy request that would be late behind the work at both endpoints checks others, where a light one is sent.
+// Guards against late responses to requests with much work: if such a request would be late behind the work at both
+// checked endpoints, others are checked, whereas a request with little work is sent.
 func TestHeavyRequestNeedsALessLoadedEndpoint(t *testing.T) {
 	for hint, wantSends := range map[time.Duration]int{20 * time.Millisecond: 1, 400 * time.Millisecond: 0} {
 		node := newCheckingNode(lowHealthCheckCost)
@@ -139,12 +143,13 @@
 		node.Handle(node.now, HealthCheckEnded{Endpoint: checked[0], Report: reportOf(1, 0)})
 		actions := node.Handle(node.now, HealthCheckEnded{Endpoint: checked[1], Report: reportOf(1, 0)})
 		if len(sends(actions)) != wantSends || len(healthChecks(actions)) != 2*(1-wantSends) {
-			t.Errorf("hint %v: %v", hint, actions)
+			t.Errorf("hint %v: got actions %v, want a send for 20 ms or two health checks for 400 ms", hint, actions)
 		}
 	}
 }
 
-// An endpoint that warms up does the same work more slowly: a request that fits a warm one may be late there.
+// Guards against late responses from endpoints that warm up, which do the same work more slowly: a request that a warm
+// endpoint would serve in time may be late there, and others are checked.
 func TestWarmingUpEndpointCountsAsSlower(t *testing.T) {
 	node := newCheckingNode(lowHealthCheckCost)
 	checked := healthChecks(node.Handle(time.Hour, pageRequest()))
@@ -156,6 +161,6 @@
 	node.Handle(node.now, HealthCheckEnded{Endpoint: checked[0], Report: reportOf(1, 0)})
 	actions := node.Handle(node.now, HealthCheckEnded{Endpoint: checked[1], Report: reportOf(1, 0)})
 	if len(healthChecks(actions)) != 2 {
-		t.Errorf("%v", actions)
+		t.Errorf("got actions %v, want two health checks", actions)
 	}
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Helpers of the tests that look inside a Balancer.
+// Helpers of the tests that use the unexported state of a Balancer.
 
-// newNode returns the balancer of one of many nodes, which knows the endpoints 1 to n.
+// newNode returns the balancer of the node with this index among the nodes. It knows ready endpoints with the IDs 1, 2
+// and so on.
 func newNode(index, nodes, endpoints int) *Balancer {
 	settings := Settings{
 		Nodes:             nodes,
@@ -40,8 +41,8 @@
 	return endpoints
 }
 
-// newAggregatedNode returns one of many nodes, which has a response of 100 ms every two seconds from each endpoint of its
-// subset, and therefore judges the subset as a whole.
+// newAggregatedNode returns the balancer of one of 360 nodes. It has a response of 100 ms every two seconds from each
+// endpoint of its subset, which is so little that it derives one mode for the subset as a whole.
 func newAggregatedNode(t *testing.T) *Balancer {
 	t.Helper()
 	node := newNode(1, 360, 60)
@@ -59,17 +60,17 @@
 	}
 	node.updateAggregate(node.placements[0])
 	if !node.placements[0].aggregated {
-		t.Fatalf("H is %v, and the subset is not judged as a whole", node.overloadThreshold(subset[0]))
+		t.Fatalf("the subset is not aggregated with an H of %v per endpoint", node.overloadThreshold(subset[0]))
 	}
 	return node
 }
 
-// attemptAt returns a request of the node's first class with one attempt, at the endpoint.
+// attemptAt returns a request of the node's first class that has one attempt, at the endpoint.
 func attemptAt(node *Balancer, endpoint *endpoint) *request {
 	return &request{class: node.classOrder[0], relativeWork: 1, attempts: []attempt{{endpoint: endpoint}}}
 }
 
-// sends returns the endpoints of the attempts among the actions.
+// sends returns the endpoints of the Send actions.
 func sends(actions []Action) []EndpointID {
 	var endpoints []EndpointID
 	for _, action := range actions {
@@ -80,7 +81,7 @@
 	return endpoints
 }
 
-// healthChecks returns the endpoints of the health checks among the actions.
+// healthChecks returns the endpoints of the HealthCheck actions.
 func healthChecks(actions []Action) []EndpointID {
 	var endpoints []EndpointID
 	for _, action := range actions {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -9,7 +9,7 @@
 const (
 	failureGain            = 0.005                  // weight of one attempt in the moving average failureShare
 	minConsecutiveFailures = 3                      // to eject an endpoint: fewer may be chance
-	maxChanceOfFailures    = 1e-5                   // probability of a chance run of failures, below which to eject
+	maxChanceOfFailures    = 1e-5                   // highest probability of a run of failures that ejects
 	minUnansweredSends     = 4                      // to eject a silent endpoint: fewer may be chance
 	silentFactor           = 4.0                    // multiple of the expected latency that is no longer chance
 	conclusiveFactor       = 2.0                    // multiple of the expected latency before which silence proves nothing
@@ -109,8 +109,8 @@
 	}
 }
 
-// failuresToEject returns the number of consecutive failures whose probability, if all endpoints failed alike, is
-// maxChanceOfFailures. It grows with the share of attempts that fail over all endpoints.
+// failuresToEject returns the number of consecutive failures that ejects an endpoint: at least minConsecutiveFailures,
+// and so many that their probability is at most maxChanceOfFailures if all endpoints fail alike.
 func (b *Balancer) failuresToEject() float64 {
 	return math.Max(minConsecutiveFailures, math.Log(maxChanceOfFailures)/math.Log(b.failureShare))
 }
--- a/balancer/outlier_behaviour_test.go
+++ b/balancer/outlier_behaviour_test.go
@@ -7,7 +7,7 @@
 	"bankshift/balancer"
 )
 
-// failWith makes the endpoints for which it holds respond so, and the others as before.
+// failWith gives attempts at the matching endpoints this latency and outcome. The other endpoints respond as before.
 func (h *harness) failWith(latency time.Duration, outcome balancer.Outcome, matches func(balancer.EndpointID) bool) {
 	before := h.respond
 	h.respond = func(id balancer.EndpointID) (time.Duration, balancer.Outcome) {
@@ -18,8 +18,8 @@
 	}
 }
 
-// A silent endpoint is ejected and its requests are served elsewhere, also while discovery is down. When it is back its
-// load grows slowly, as it may warm up.
+// Guards against requests lost at a silent endpoint while discovery is down: the endpoint must be ejected and its
+// requests served elsewhere. When it recovers its load must grow slowly, as it may have to warm up.
 func TestSilentEndpointWhileDiscoveryIsDown(t *testing.T) {
 	settings := harnessSettings()
 	settings.EndpointsOnDemand = true
@@ -30,10 +30,11 @@
 	h.resetCounts()
 	h.run(6*time.Second, 100, "ordinary")
 	if h.sent[3] > 25 || h.failed > 0 || h.rejected > 5 {
-		t.Errorf("the silent endpoint got %d, %d failed, %d rejected", h.sent[3], h.failed, h.rejected)
+		t.Errorf("%d sends to the silent endpoint, %d requests failed, %d rejected; want at most 25, 0, 5",
+			h.sent[3], h.failed, h.rejected)
 	}
 	if h.polls < 3 {
-		t.Errorf("only %d polls for the endpoint list", h.polls)
+		t.Errorf("%d polls for the endpoint list, want at least 3", h.polls)
 	}
 	h.respond = healthy
 	h.resetCounts()
@@ -43,21 +44,23 @@
 	h.resetCounts()
 	h.run(5*time.Second, 100, "ordinary")
 	if early > 50 || h.sent[3] < 60 {
-		t.Errorf("back from silence: %d in the first 3 s, %d in 5 s once warm", early, h.sent[3])
+		t.Errorf("recovered endpoint: %d sends in the first 3 s, %d in 5 s once warm; want at most 50, at least 60",
+			early, h.sent[3])
 	}
 }
 
-// An endpoint that fails fast must not attract work.
+// Guards against an endpoint that fails fast and attracts requests because its low latency looks good.
 func TestFastFailingEndpointAttractsNoRequests(t *testing.T) {
 	h := newHarness(harnessSettings(), 4)
 	h.failWith(time.Millisecond, balancer.ServerError, func(id balancer.EndpointID) bool { return id == 2 })
 	h.run(10*time.Second, 100, "ordinary")
 	if h.sent[2] > 60 {
-		t.Errorf("%d of %d sends went to the endpoint that fails", h.sent[2], h.totalSent())
+		t.Errorf("%d of %d sends went to the endpoint that fails, want at most 60", h.sent[2], h.totalSent())
 	}
 }
 
-// If all endpoints slow down at once none is ejected, and each is kept as busy as it was, in requests in flight.
+// Guards against ejecting endpoints or sending them less if all slow down at once: each must have as many requests in
+// flight as before.
 func TestUniformSlowdownEjectsNone(t *testing.T) {
 	h := newHarness(harnessSettings(), 4)
 	h.run(5*time.Second, 80, "ordinary")
@@ -67,16 +70,16 @@
 	h.resetCounts()
 	h.run(5*time.Second, 80, "ordinary")
 	if h.logActions > 0 {
-		t.Errorf("%d endpoints were ejected", h.logActions)
+		t.Errorf("%d log actions for ejected or recovered endpoints, want 0", h.logActions)
 	}
 	for id := balancer.EndpointID(1); id <= 4; id++ {
 		if h.sent[id] < 25 { // one in flight, as before, is 33 in 5 s
-			t.Errorf("endpoint %d got only %d", id, h.sent[id])
+			t.Errorf("endpoint %d got %d sends in 5 s, want at least 25", id, h.sent[id])
 		}
 	}
 }
 
-// Actions for the log are few even if an endpoint fails and recovers all the time.
+// Guards against a log that fills the disk because an endpoint fails and recovers all the time.
 func TestLogActionsAreLimited(t *testing.T) {
 	h := newHarness(harnessSettings(), 3)
 	h.run(3*time.Second, 100, "ordinary")
@@ -91,6 +94,6 @@
 	h.logActions = 0
 	h.run(60*time.Second, 100, "ordinary")
 	if h.logActions == 0 || h.logActions > 13 {
-		t.Errorf("%d log actions in a minute about one endpoint", h.logActions)
+		t.Errorf("%d log actions in a minute about one endpoint, want 1 to 13", h.logActions)
 	}
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A timeout that came early, because a slow connection or a first attempt had left little time, proves nothing; one
-// that came after the time that responses take does.
+// Guards against blaming an endpoint for a timeout that came before a response could be expected, because a slow
+// connection or an earlier attempt had left little time. Only a timeout after the usual latency counts as a failure.
 func TestEarlyTimeoutIsInconclusive(t *testing.T) {
 	for _, c := range []struct {
 		sinceSent  time.Duration
@@ -15,7 +15,7 @@
 	}{
 		{190 * time.Millisecond, false},
 		{210 * time.Millisecond, true},
-		{0, true}, // not known
+		{0, true}, // not known, which counts as conclusive
 	} {
 		node := newAggregatedNode(t)
 		endpoint := node.placements[0].subset[0]
@@ -32,9 +32,9 @@
 	}
 }
 
-// An ejected endpoint that was silent may have restarted, and warms up when it is back. One that answered each request
-// with an error has not: if the endpoints of a fleet that all failed for a second warmed up, it would reject most of its
-// traffic for long.
+// Guards against slow start after mere server errors: if all endpoints of a fleet failed for a second and then warmed
+// up, the fleet would reject most of its traffic for a long time. Only an ejected endpoint that was silent or
+// unreachable may have restarted and warms up when it recovers.
 func TestServerErrorsDoNotImplyRestart(t *testing.T) {
 	for _, outcome := range []Outcome{ServerError, TimedOut, ConnectFailed} {
 		node := newAggregatedNode(t)
@@ -46,7 +46,7 @@
 			node.recordOutcome(endpoint, request, AttemptEnded{Outcome: outcome, Elapsed: time.Second})
 		}
 		if !endpoint.ejected || (endpoint.unansweredSends == 0) != (outcome == ServerError) {
-			t.Fatalf("outcome %v: ejected %v, %d unanswered", outcome, endpoint.ejected, endpoint.unansweredSends)
+			t.Fatalf("outcome %v: ejected %v, %d unanswered sends", outcome, endpoint.ejected, endpoint.unansweredSends)
 		}
 		node.recordOutcome(endpoint, request, AttemptEnded{Outcome: OK, Elapsed: time.Second})
 		if want := outcome != ServerError; endpoint.ejected || endpoint.warmingUp != want {
@@ -56,8 +56,8 @@
 	}
 }
 
-// With many ejected endpoints, trial requests must stay a small part of the traffic: each delays a request and costs a
-// connection.
+// Guards against too many trial requests if many endpoints are ejected: each delays a request and costs a connection,
+// so they must stay a small part of the traffic.
 func TestTrialRequestsAreLimited(t *testing.T) {
 	node := newNode(1, 360, 60)
 	for _, endpoint := range node.endpoints[:20] {
@@ -73,11 +73,12 @@
 		}
 	}
 	if trials < 5 || trials > 25 {
-		t.Errorf("%d trials in 400 requests", trials)
+		t.Errorf("%d trial requests in 400 requests, want 5 to 25", trials)
 	}
 }
 
-// What a client did wrong, or this node could not do, is no failure of the endpoint; and the first ends the request.
+// Guards against counting faults of the client (BadRequest) or of this node (NotSent) as failures of the endpoint. A
+// BadRequest must also end its request without another attempt.
 func TestOutcomesNotCountedAsFailures(t *testing.T) {
 	for _, outcome := range []Outcome{BadRequest, NotSent} {
 		node := New(Settings{Nodes: 2, MaxAttempts: 9, Classes: []Class{
@@ -111,17 +112,18 @@
 		}
 		for _, endpoint := range node.endpoints {
 			if endpoint.consecutiveFailures > 0 || endpoint.ejected || endpoint.unansweredSends > 0 {
-				t.Errorf("outcome %v: %d failures, ejected %v, %d unanswered",
+				t.Errorf("outcome %v: %d failures, ejected %v, %d unanswered sends; want none of these",
 					outcome, endpoint.consecutiveFailures, endpoint.ejected, endpoint.unansweredSends)
 			}
 		}
 		if answered != 50 || outcome == BadRequest && sent != 50 {
-			t.Errorf("outcome %v: %d sends and %d final answers for 50 requests", outcome, sent, answered)
+			t.Errorf("outcome %v: %d sends and %d final answers for 50 requests, want 50 answers and, if bad request, 50 sends",
+				outcome, sent, answered)
 		}
 	}
 }
 
-// If all endpoints fail alike, a few failures in a row eject none.
+// Guards against ejecting an endpoint for a few failures in a row if failures are common at all endpoints.
 func TestChanceFailuresDoNotEject(t *testing.T) {
 	for _, c := range []struct {
 		failureShare float64
@@ -138,8 +140,8 @@
 			node.recordFailure(failing, ServerError)
 		}
 		if failing.ejected != c.ejected {
-			t.Errorf("%d failures in a row where %v of all attempts fail: ejected %v",
-				minConsecutiveFailures, c.failureShare, failing.ejected)
+			t.Errorf("%d failures in a row where a share of %v of all attempts fails: ejected %v, want %v",
+				minConsecutiveFailures, c.failureShare, failing.ejected, c.ejected)
 		}
 	}
 }
--- a/balancer/package_test.go
+++ b/balancer/package_test.go
@@ -13,7 +13,7 @@
 	"unicode/utf8"
 )
 
-// policyFiles returns the files that hold the decisions, as the deploy file names them.
+// policyFiles returns the files that the deploy file lists under policy: those with the decision logic.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -39,8 +39,8 @@
 	return slices.DeleteFunc(names, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 }
 
-// The package is pure: it imports nothing that could do I/O, read a clock, start a timer or draw global randomness, and
-// starts no goroutine.
+// Guards against a package that is not pure: it must import nothing that could do I/O, read a clock, start a timer or
+// draw global randomness, and must start no goroutine.
 func TestPackageIsPure(t *testing.T) {
 	allowed := []string{"cmp", "fmt", "maps", "math", "slices", "time"}
 	for _, name := range sourceFiles(t) {
@@ -50,7 +50,7 @@
 		}
 		for _, spec := range file.Imports {
 			if path := strings.Trim(spec.Path.Value, `"`); !slices.Contains(allowed, path) {
-				t.Errorf("%s imports %s", name, path)
+				t.Errorf("%s imports %s, which is not on the list of allowed packages", name, path)
 			}
 		}
 		text, err := os.ReadFile(name)
@@ -62,13 +62,13 @@
 			"fmt.Print", "\tgo ",
 		} {
 			if strings.Contains(string(text), banned) {
-				t.Errorf("%s has %q", name, banned)
+				t.Errorf("%s contains %q, which is banned", name, banned)
 			}
 		}
 	}
 }
 
-// The files stay readable: no line is longer than maxLineLength characters.
+// Guards against lines that are hard to read because they are longer than maxLineLength characters.
 func TestLinesAreShort(t *testing.T) {
 	const maxLineLength = 120
 	for _, name := range sourceFiles(t) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// The deploy file names each file of the decisions, and no other.
+// Guards against a deploy file whose policy list lacks a source file of the package or names another file.
 func TestDeployFileListsThePolicy(t *testing.T) {
 	var want []string
 	for _, name := range sourceFiles(t) {
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// An attempt that gets no response is no load for long, and leaves its request time for another endpoint.
+// Guards against attempts without a response that make endpoints look full or use up their requests' time: they must
+// soon stop counting as load, and must time out early if their requests may be sent again.
 func TestSilentAttemptIsTimedOutAndNotCounted(t *testing.T) {
 	node := New(Settings{Nodes: 2, MaxAttempts: 4, CancelAllowed: true, Classes: []Class{
 		{Name: "page", PriorityWeight: 1, LatencyObjective: 2 * time.Second, Idempotency: Idempotent},
@@ -27,19 +28,19 @@
 		return 0
 	}
 	if got := timeoutOf("a", "page"); got < 100*time.Millisecond || got > time.Second {
-		t.Errorf("a request that may be sent again has a timeout of %v for a response that takes 20 ms", got)
+		t.Errorf("a request that may be sent again has a timeout of %v, want 100 ms to 1 s: responses take 20 ms", got)
 	}
 	if got := timeoutOf("b", "pay"); got != 4*time.Second {
-		t.Errorf("one that may not be sent again has a timeout of %v, want all its time", got)
+		t.Errorf("a request that may not be sent again has a timeout of %v, want its whole 4 s", got)
 	}
 
 	inFlight := func() float64 { return node.endpointsByID[1].inFlight + node.endpointsByID[2].inFlight }
 	if inFlight() != 2 {
-		t.Fatalf("%v in flight, want 2", inFlight())
+		t.Fatalf("%v attempts in flight, want 2", inFlight())
 	}
 	node.Handle(node.now+time.Second, TimerFired{})
 	if inFlight() != 0 {
-		t.Errorf("%v in flight, though both are silent for fifty times what responses take", inFlight())
+		t.Errorf("%v attempts in flight, want 0: both have had no response for 50 times the usual latency", inFlight())
 	}
 
 	silent := node.requests["a"].attempts[0].endpoint
@@ -47,6 +48,6 @@
 	other.inFlight = 1
 	node.Handle(node.now, AttemptEnded{ID: "a", Endpoint: silent.ID, RequestDone: true, Outcome: TimedOut})
 	if silent.inFlight != 0 || other.inFlight != 1 {
-		t.Errorf("the end of a silent attempt leaves %v and %v in flight, want 0 and 1", silent.inFlight, other.inFlight)
+		t.Errorf("%v and %v in flight after the end of a silent attempt, want 0 and 1", silent.inFlight, other.inFlight)
 	}
 }
--- a/balancer/retry_behaviour_test.go
+++ b/balancer/retry_behaviour_test.go
@@ -7,7 +7,8 @@
 	"bankshift/balancer"
 )
 
-// A request that is not idempotent, at a silent endpoint, is failed at its deadline: never sent again and never rejected.
+// Guards against running a request twice that is not idempotent: if its endpoint is silent, the request must fail at
+// its deadline, and must be neither sent again nor rejected.
 func TestNonIdempotentTimeoutFails(t *testing.T) {
 	h := newHarness(harnessSettings(), 3)
 	h.respond = func(balancer.EndpointID) (time.Duration, balancer.Outcome) { return time.Hour, balancer.TimedOut }
@@ -18,7 +19,9 @@
 	}
 }
 
-// Retries by idempotency, after outcomes that prove nothing and after those that prove that the request never ran.
+// Guards against retries that may run a request twice, and against failing requests that may be sent again: after an
+// outcome that leaves open whether the request ran, only an idempotent one is sent again, and after an outcome that
+// proves that it never ran, any request is.
 func TestRetriesByIdempotency(t *testing.T) {
 	for _, c := range []struct {
 		class   string
@@ -40,12 +43,14 @@
 		h.run(step, 200, c.class)
 		h.run(time.Second, 0, c.class)
 		if n := h.totalSent(); (n == 2) != c.retried || (h.failed == 1) == c.retried {
-			t.Errorf("%s after outcome %v: %d sends, %d failed", c.class, c.outcome, n, h.failed)
+			t.Errorf("class %s after outcome %q: %d sends, %d failed, want a retry: %v",
+				c.class, c.outcome, n, h.failed, c.retried)
 		}
 	}
 }
 
-// firstThen gives the first attempt this latency and outcome; those after it are served in 50 ms.
+// firstThen returns a respond function that gives the first attempt this latency and outcome and serves all others in
+// 50 ms.
 func firstThen(latency time.Duration, outcome balancer.Outcome) func(balancer.EndpointID) (time.Duration, balancer.Outcome) {
 	first := true
 	return func(balancer.EndpointID) (time.Duration, balancer.Outcome) {
@@ -57,11 +62,11 @@
 	}
 }
 
-// An attempt that takes much longer than usual is given up for another. If there can be no other, because of the
-// deduplication window or the number of attempts, and no rejection either after which the client could try again, then
-// giving up is a plain loss.
+// Guards against giving up a slow attempt where that gains nothing. An attempt that takes much longer than usual is
+// given up for another, but awaited if two things hold: the deduplication window or the number of attempts rules out
+// another, and the request cannot be rejected, after which the client could try again.
 func TestSlowResponseIsAwaitedIfNoRetryIsPossible(t *testing.T) {
-	const slow = 900 * time.Millisecond // within every deadline and objective
+	const slow = 900 * time.Millisecond // within the class's deadline and objective
 	for _, c := range []struct {
 		name        string
 		idempotency balancer.Idempotency
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -9,10 +9,10 @@
 	"bankshift/balancer"
 )
 
-// mutation breaks the actions of one event.
+// mutation returns the actions of one event with changes that violate a rule.
 type mutation func(*simulation, []balancer.Action) []balancer.Action
 
-// simulate plays a simulation for some time, and then until all deadlines have passed.
+// simulate runs a simulation with arriving requests for the duration, and then without until all deadlines have passed.
 func simulate(seed int64, duration time.Duration, mutate mutation) *simulation {
 	const rate = 60 // arrivals per second
 	s := newSimulation(seed)
@@ -23,7 +23,7 @@
 	return s
 }
 
-// The rules hold in any legal order of events, with any settings.
+// Guards against actions that violate the rules, under random settings and random but legal orders of events.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
 		violations := simulate(seed, 15*time.Second, nil).violations
@@ -34,6 +34,7 @@
 	}
 }
 
+// FuzzRules is TestRulesUnderRandomEvents with seeds that the fuzzer chooses.
 func FuzzRules(f *testing.F) {
 	for seed := int64(1000); seed < 1005; seed++ {
 		f.Add(seed)
@@ -45,7 +46,8 @@
 	})
 }
 
-// Two balancers that handle the same events return the same actions.
+// Guards against actions that depend on anything but the settings, the seed and the events: two balancers for which
+// these are the same must return the same actions.
 func TestSameEventsSameActions(t *testing.T) {
 	simulateActions := func() []string {
 		s := newSimulation(7)
@@ -54,16 +56,16 @@
 	}
 	first, again := simulateActions(), simulateActions()
 	if len(first) < 500 || len(first) != len(again) {
-		t.Fatalf("%d and %d events", len(first), len(again))
+		t.Fatalf("%d and %d events, want the same number, at least 500", len(first), len(again))
 	}
 	for i := range first {
 		if first[i] != again[i] {
-			t.Fatalf("event %d: %s, then %s", i, first[i], again[i])
+			t.Fatalf("event %d: actions %s in the first run, %s in the second", i, first[i], again[i])
 		}
 	}
 }
 
-// mutateEach breaks actions one by one.
+// mutateEach returns a mutation that replaces each action by the actions that change returns for it.
 func mutateEach(change func(*simulation, balancer.Action) []balancer.Action) mutation {
 	return func(s *simulation, actions []balancer.Action) []balancer.Action {
 		var changed []balancer.Action
@@ -74,7 +76,7 @@
 	}
 }
 
-// mutateSends replaces each Send.
+// mutateSends returns a mutation that replaces each Send and leaves other actions as they are.
 func mutateSends(change func(*simulation, balancer.Send) []balancer.Action) mutation {
 	return mutateEach(func(s *simulation, action balancer.Action) []balancer.Action {
 		if send, ok := action.(balancer.Send); ok {
@@ -84,7 +86,8 @@
 	})
 }
 
-// redirectSends sends each attempt to the last listed endpoint for which the condition holds.
+// redirectSends returns a mutation that sends each attempt to the endpoint that was listed last of those for which the
+// condition holds.
 func redirectSends(condition func(*simulation, *simulatedEndpoint) bool) mutation {
 	return mutateSends(func(s *simulation, send balancer.Send) []balancer.Action {
 		for _, id := range s.endpointIDs {
@@ -96,7 +99,7 @@
 	})
 }
 
-// toAnother returns the attempt with another endpoint that is ready.
+// toAnother returns the attempt with another endpoint that is ready, or unchanged if there is none.
 func toAnother(s *simulation, send balancer.Send) balancer.Send {
 	for _, id := range s.endpointIDs {
 		if id != send.Endpoint && s.endpoints[id].notReadySince == 0 {
@@ -107,15 +110,16 @@
 	return send
 }
 
-// sendTwice sends each attempt to another endpoint as well.
+// sendTwice is a mutation that sends each attempt to another endpoint as well.
 var sendTwice = mutateSends(func(s *simulation, send balancer.Send) []balancer.Action {
 	return []balancer.Action{send, toAnother(s, send)}
 })
 
-// the checks of the simulation find each kind of violation: here actions are broken in each way that the rules forbid.
+// Guards against checks of the simulation that miss a kind of violation: each case changes actions in a way that the
+// rules forbid, and the violation must be found.
 func TestViolationsAreFound(t *testing.T) {
 	for _, c := range []struct {
-		want   string // part of the violation
+		want   string // part of the recorded violation
 		mutate mutation
 	}{
 		{"no answer in time", mutateEach(func(_ *simulation, action balancer.Action) []balancer.Action {
@@ -185,7 +189,7 @@
 			found = strings.Contains(fmt.Sprint(s.violations), c.want)
 		}
 		if !found {
-			t.Errorf("actions broken so that %q were not found", c.want)
+			t.Errorf("25 simulations with mutated actions recorded no violation with %q", c.want)
 		}
 	}
 }
--- a/balancer/world_rules_test.go
+++ b/balancer/world_rules_test.go
@@ -8,7 +8,7 @@
 	"bankshift/balancer"
 )
 
-// recordViolation records a violation of the rules.
+// recordViolation records a violation of the rules with the current time.
 func (s *simulation) recordViolation(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf("%v: ", s.now)+fmt.Sprintf(format, args...))
 }
@@ -28,7 +28,7 @@
 		s.healthCheck(action)
 	case balancer.CloseIdleConnections:
 		if endpoint := s.endpoints[action.Endpoint]; endpoint == nil {
-			s.recordViolation("connections of an unknown endpoint closed")
+			s.recordViolation("connections of unknown endpoint %d closed", action.Endpoint)
 		} else {
 			endpoint.usedAt = 0
 		}
@@ -55,7 +55,7 @@
 func (s *simulation) answer(id balancer.RequestID) *simulatedRequest {
 	request := s.requests[id]
 	if request == nil {
-		s.recordViolation("answer to an unknown request")
+		s.recordViolation("answer to unknown request %s", id)
 		return nil
 	}
 	if request.answered {
@@ -65,7 +65,7 @@
 	return request
 }
 
-// reject checks a rejection: it promises that another try does no harm.
+// reject checks a rejection, which promises that another try is safe.
 func (s *simulation) reject(reject balancer.Reject) {
 	request := s.answer(reject.ID)
 	if request == nil {
@@ -111,11 +111,11 @@
 	s.schedule(s.drawDuration(0, 20), ended)
 }
 
-// send checks an attempt and schedules its outcome.
+// send checks a new attempt and schedules its outcome.
 func (s *simulation) send(send balancer.Send) {
 	request := s.requests[send.ID]
 	if request == nil {
-		s.recordViolation("send for an unknown request")
+		s.recordViolation("send for unknown request %s", send.ID)
 		return
 	}
 	endpoint := s.endpoints[send.Endpoint]
@@ -135,7 +135,7 @@
 	s.scheduleOutcome(send, request, len(request.attempts)-1)
 }
 
-// checkRequest checks that a request may be sent at all.
+// checkRequest checks the rules on sending a request that do not depend on the endpoint.
 func (s *simulation) checkRequest(request *simulatedRequest) {
 	if request.answered || request.streaming {
 		s.recordViolation("send for a request that is over")
@@ -148,7 +148,8 @@
 	}
 }
 
-// checkEndpoint checks that the request may be sent to the endpoint.
+// checkEndpoint checks that the endpoint is allowed for the request's class and has not been draining or removed for
+// longer than DrainGrace.
 func (s *simulation) checkEndpoint(request *simulatedRequest, endpoint *simulatedEndpoint) {
 	zones, machineTypes := request.class.AllowedZones, request.class.AllowedMachineTypes
 	if zones != nil && !slices.Contains(zones, endpoint.Zone) ||
@@ -181,14 +182,14 @@
 	}
 }
 
-// sameScope reports whether two endpoints share their idempotency keys.
+// sameScope reports whether two endpoints share the idempotency keys that they have seen.
 func sameScope(scope balancer.DeduplicationScope, x, y *simulatedEndpoint) bool {
 	return scope == balancer.DeduplicatedByFleet ||
 		scope == balancer.DeduplicatedByZone && x.Zone == y.Zone ||
 		scope == balancer.DeduplicatedByCell && x.Cell == y.Cell
 }
 
-// checkSlowStart checks the sends to an endpoint that warms up against its budget.
+// checkSlowStart checks that the sends to an endpoint that warms up stay within its budget.
 func (s *simulation) checkSlowStart(endpoint *simulatedEndpoint) {
 	age := (s.now - endpoint.StartedAt).Seconds() / s.settings.SlowStartDuration.Seconds()
 	if !endpoint.startKnown || age >= 1 {
@@ -207,7 +208,7 @@
 	}
 }
 
-// scheduleOutcome draws how an attempt ends.
+// scheduleOutcome draws the outcome of an attempt and schedules it, and may schedule the start of a stream before it.
 func (s *simulation) scheduleOutcome(send balancer.Send, request *simulatedRequest, number int) {
 	limit := request.deadline - s.now
 	if send.Timeout != 0 {
@@ -220,7 +221,7 @@
 	outcome := outcomes[s.rng.Intn(len(outcomes))]
 	elapsed := s.drawDuration(1, 401)
 	if uint32(send.Endpoint)%5 == uint32(s.now.Seconds()/7)%5 && s.rng.Intn(2) == 0 {
-		outcome = balancer.TimedOut // some endpoints are silent for a while
+		outcome = balancer.TimedOut // an endpoint is silent for about half of its attempts in every fifth span of 7 s
 	}
 	if outcome == balancer.TimedOut || elapsed > limit {
 		outcome, elapsed = balancer.TimedOut, limit
@@ -247,7 +248,7 @@
 	})
 }
 
-// checkConnectionsClosed checks that idle connections to draining endpoints are closed in time.
+// checkConnectionsClosed checks that idle connections to draining endpoints are closed within DrainCloseTimeout.
 func (s *simulation) checkConnectionsClosed() {
 	if s.settings.DrainCloseTimeout == 0 {
 		return
@@ -262,7 +263,7 @@
 	}
 }
 
-// checkAnswered checks that requests have their final answers in time, to within one step.
+// checkAnswered checks that requests have their final answers in time, with a tolerance of one step.
 func (s *simulation) checkAnswered(step time.Duration) {
 	for id, request := range s.requests {
 		open := !request.answered && !request.streaming
--- a/balancer/world_test.go
+++ b/balancer/world_test.go
@@ -9,30 +9,30 @@
 	"bankshift/balancer"
 )
 
-// simulation drives one Balancer through legal but unkind events, drawn at random, and checks the rules on each action with
-// code of its own: nothing here uses more of the package than its interface.
+// simulation feeds one Balancer events that are drawn at random, legal but adverse, and checks each action against the
+// rules. Its checks do not rely on the balancer's own: it uses only the exported interface of the package.
 type simulation struct {
 	settings balancer.Settings
-	capacity float64 // requests per second, of a warm endpoint, that this node may send it
+	capacity float64 // requests per second that this node may send to a warm endpoint
 	rng      *rand.Rand
 	balancer *balancer.Balancer
-	mutate   func(*simulation, []balancer.Action) []balancer.Action // breaks the balancer's actions; nil: left as they are
+	mutate   func(*simulation, []balancer.Action) []balancer.Action // changes the balancer's actions; nil: no change
 
 	now    time.Duration
 	queue  []futureEvent
-	order  int // of the last event that was scheduled
-	lastID int // used in the IDs of requests and endpoints
+	order  int // number of the last event that was scheduled
+	lastID int // last number used in the ID of a request or an endpoint
 
 	requests    map[balancer.RequestID]*simulatedRequest
 	endpoints   map[balancer.EndpointID]*simulatedEndpoint
-	endpointIDs []balancer.EndpointID // in order of their listing
+	endpointIDs []balancer.EndpointID // in the order in which they were first listed
 	sentAt      map[balancer.EndpointID][]time.Duration
 
-	actions    []string // for each event, as text
-	violations []string // of the rules
+	actions    []string // actions of each event, as text
+	violations []string // violations of the rules, with their times
 }
 
-// simulatedRequest is a request as the simulation knows it.
+// simulatedRequest is what the simulation records of a request.
 type simulatedRequest struct {
 	class     balancer.Class
 	deadline  time.Duration
@@ -48,23 +48,23 @@
 	outcome  balancer.Outcome
 }
 
-// neverRan reports whether the outcome proves that the attempt never ran.
+// neverRan reports whether the outcome proves that the attempt did not execute the request.
 func (a simulatedAttempt) neverRan() bool {
 	return a.ended && (a.outcome == balancer.Rejected || a.outcome == balancer.ConnectFailed || a.outcome == balancer.NotSent)
 }
 
-// simulatedEndpoint is an endpoint as the last update of the node had it.
+// simulatedEndpoint is an endpoint as the node knows it from its last update.
 type simulatedEndpoint struct {
 	balancer.Endpoint
 	notReadySince time.Duration // when an update first had it draining or removed; 0: it is ready
-	startKnown    bool          // an update had its start
-	usedAt        time.Duration // last send, outcome, or update that it drains; 0: none since its connections were closed
+	startKnown    bool          // it is ready, and its last update gave its start time
+	usedAt        time.Duration // last send, outcome or update to not ready; 0: none since its connections were closed
 }
 
-// futureEvent is an event that the node will be handed.
+// futureEvent is an event that will be delivered to the node.
 type futureEvent struct {
 	at    time.Duration
-	order int // of events at the same time
+	order int // lower numbers first among events at the same time
 	event balancer.Event
 }
 
@@ -94,7 +94,7 @@
 
 func (s *simulation) drawBool() bool { return s.rng.Intn(2) == 0 }
 
-// drawSettings draws settings without classes and tenants.
+// drawSettings draws random settings without classes and tenants.
 func (s *simulation) drawSettings() balancer.Settings {
 	return balancer.Settings{
 		Nodes:               1 + s.rng.Intn(6),
@@ -140,7 +140,7 @@
 	}
 }
 
-// start starts the node, with the endpoint list as it last had it.
+// start starts or restarts the node, with the endpoint list that it last knew, filled up to four endpoints.
 func (s *simulation) start() {
 	s.balancer = balancer.New(s.settings, s.rng.Int63())
 	s.requests = map[balancer.RequestID]*simulatedRequest{}
@@ -154,7 +154,7 @@
 	s.update(balancer.CachedUpdate, entries)
 }
 
-// listed returns the endpoint list by the updates so far.
+// listed returns the endpoint list that results from the updates so far.
 func (s *simulation) listed() []balancer.Endpoint {
 	var entries []balancer.Endpoint
 	for _, id := range s.endpointIDs {
@@ -177,7 +177,8 @@
 	}
 }
 
-// run plays some time with so many arrivals per second. The node may be restarted in between if restarts is set.
+// run advances the simulation by the duration, with rate arrivals per second on average. If restarts is set, the node
+// is restarted at random.
 func (s *simulation) run(duration time.Duration, rate float64, restarts bool) {
 	const step = 5 * time.Millisecond
 	for end := s.now + duration; s.now < end; s.now += step {
@@ -198,7 +199,7 @@
 	}
 }
 
-// deliverDue hands over the events that are due, in order.
+// deliverDue delivers the events that are due, in order.
 func (s *simulation) deliverDue() {
 	slices.SortStableFunc(s.queue, func(x, y futureEvent) int {
 		if x.at != y.at {
@@ -213,8 +214,8 @@
 	}
 }
 
-// deliver hands an event over if it can still happen: one outcome for each attempt, none that a restarted node has
-// forgotten, and nothing for a request that was answered.
+// deliver delivers an event if it can still happen. Each attempt has one outcome, a restarted node gets no outcomes of
+// requests from before its restart, and a request that was answered has no further stream start or abandonment.
 func (s *simulation) deliver(event balancer.Event) {
 	switch event := event.(type) {
 	case balancer.AttemptEnded:
@@ -246,7 +247,7 @@
 	s.handle(event)
 }
 
-// handle hands an event over and carries out the actions.
+// handle passes an event to the balancer and carries out the resulting actions.
 func (s *simulation) handle(event balancer.Event) {
 	actions := s.balancer.Handle(s.now, event)
 	s.actions = append(s.actions, fmt.Sprintf("%#v", actions))
@@ -258,14 +259,14 @@
 	}
 }
 
-// schedule hands an event over later, no sooner than MinEventInterval.
+// schedule queues an event for delivery after the given time, but no sooner than after MinEventInterval.
 func (s *simulation) schedule(after time.Duration, event balancer.Event) {
 	s.order++
 	at := s.now + max(after, s.settings.MinEventInterval)
 	s.queue = append(s.queue, futureEvent{at: at, order: s.order, event: event})
 }
 
-// arrive hands over a new request.
+// arrive delivers a new request.
 func (s *simulation) arrive() {
 	s.lastID++
 	id := balancer.RequestID(fmt.Sprintf("%036d", s.lastID))
@@ -285,7 +286,7 @@
 	s.handle(event)
 }
 
-// update hands over an update of the endpoint list and records what it says.
+// update records and delivers an update of the endpoint list.
 func (s *simulation) update(kind balancer.UpdateKind, entries []balancer.Endpoint) {
 	named := map[balancer.EndpointID]bool{}
 	for _, entry := range entries {
@@ -322,7 +323,7 @@
 	}
 }
 
-// changeEndpoints hands over a random change of the endpoint list.
+// changeEndpoints delivers a random change of the endpoint list, or a failed update.
 func (s *simulation) changeEndpoints() {
 	entry := s.endpoints[s.endpointIDs[s.rng.Intn(len(s.endpointIDs))]].Endpoint
 	switch s.rng.Intn(6) {
