--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	acceptBackoffFirst = time.Millisecond      // pause after a failed Accept; doubles with each further failure
-	acceptBackoffLast  = 20 * time.Millisecond // the longest such pause: the deadlines of queued requests are running
-	emptyQueueWait     = time.Millisecond      // an Accept that blocks for at least this long found its queue empty
-	queueDrainTime     = time.Second           // after a failure; what was queued meanwhile has been accepted by then
+	minAcceptBackoff = time.Millisecond      // pause after a failed Accept; doubles with each further failure
+	maxAcceptBackoff = 20 * time.Millisecond // the longest such pause: the deadlines of queued requests are running
+	emptyQueueWait   = time.Millisecond      // an Accept that blocks for at least this long found its queue empty
+	queueDrainTime   = time.Second           // after a failure; what was queued meanwhile has been accepted by then
 )
 
 // acceptor accepts connections from a listener. It retries transient failures
@@ -33,7 +33,7 @@
 // queuedSince or later. The exception is a queue that is never empty while
 // clients wait for slots one after the other: only the last wait counts then.
 func (a *acceptor) acceptNext() (c net.Conn, queuedSince time.Time, err error) {
-	backoff := acceptBackoffFirst
+	backoff := minAcceptBackoff
 	for failures := 0; ; failures++ {
 		called := time.Now()
 		c, err = a.Listener.Accept()
@@ -60,7 +60,7 @@
 		a.failingSince = cmp.Or(a.failingSince, a.slotWaitSince, called)
 		a.lastFailure = now
 		time.Sleep(backoff)
-		backoff = min(2*backoff, acceptBackoffLast)
+		backoff = min(2*backoff, maxAcceptBackoff)
 	}
 }
 
--- a/internal/node/arrival.go
+++ b/internal/node/arrival.go
@@ -15,9 +15,9 @@
 	return c.receivedAt
 }
 
-// isWatch reports whether a read into b is how net/http watches a connection
+// isBackgroundRead reports whether a read into b is how net/http watches a connection
 // while a request is open: it reads a single byte.
-func isWatch(b []byte) bool { return len(b) == 1 }
+func isBackgroundRead(b []byte) bool { return len(b) == 1 }
 
 // arrivalTime returns when the bytes arrived at this machine that have just been
 // read from Conn. They may have lain there for a while, in the listener's queue or
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -44,9 +44,9 @@
 	// received was read. Zero: none is, or it has been given up.
 	requestStartedAt time.Time
 
-	// tightened: the request being received was given up because others need
+	// expiredForSlot: the request being received was given up because others need
 	// the connection's slot.
-	tightened bool
+	expiredForSlot bool
 
 	// servedBefore: the connection has carried a request.
 	servedBefore bool
@@ -132,7 +132,7 @@
 	if n == 0 {
 		return n, err
 	}
-	if !isWatch(b) {
+	if !isBackgroundRead(b) {
 		c.receivedAt = c.arrivalTime()
 	}
 	c.noteReceived()
--- a/internal/node/connlimit.go
+++ b/internal/node/connlimit.go
@@ -65,7 +65,7 @@
 	accepted := time.Now()
 	for !l.acquireSlot() {
 		l.noteSlotWait(accepted)
-		l.tightenOldestStalled(time.Now())
+		l.expireOldestStalled(time.Now())
 		if !l.waitForSlot() {
 			c.Close()
 			return nil, net.ErrClosed
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -15,9 +15,9 @@
 	"bankshift/internal/sockets"
 )
 
-// departureLimit is how long after a client has left an attempt may still begin, by
+// disconnectLimit is how long after a client has left an attempt may still begin, by
 // the operators' terms.
-const departureLimit = 100 * time.Millisecond
+const disconnectLimit = 100 * time.Millisecond
 
 // TestClientLeavesAfterSendingMore: a client sends more than its open request
 // and leaves. Its departure stands behind all that in its socket.
@@ -309,15 +309,15 @@
 			c, client := connectionPair(t)
 			io.WriteString(client, pipelinedGets(30))
 			waitUntil(t, "the bytes to arrive", func() bool { return !sockets.Quiet(c.Conn) })
-			if c.clientLeftNow() {
+			if c.clientDisconnectedNow() {
 				t.Fatal("the client has left, though its connection is open")
 			}
 			client.(*net.TCPConn).SetLinger(linger)
 			client.Close()
 			leftAt := time.Now()
-			for !c.clientLeftNow() {
-				if time.Since(leftAt) > departureLimit {
-					t.Fatalf("not seen %v after the departure", departureLimit)
+			for !c.clientDisconnectedNow() {
+				if time.Since(leftAt) > disconnectLimit {
+					t.Fatalf("not seen %v after the departure", disconnectLimit)
 				}
 				time.Sleep(time.Millisecond)
 			}
--- a/internal/node/eviction.go
+++ b/internal/node/eviction.go
@@ -4,28 +4,28 @@
 
 // A client's first request arrives with its connection or right after it.
 const (
-	silenceAllowance = 250 * time.Millisecond // a new connection that is silent for longer is evicted first
-	evictionGrace    = 20 * time.Millisecond  // a new connection is not evicted within this time
+	stallThreshold = 250 * time.Millisecond // a new connection that is silent for longer is evicted first
+	evictionGrace  = 20 * time.Millisecond  // a new connection is not evicted within this time
 )
 
-// tightenOldestStalled ends the reading of the request that has been incomplete
+// expireOldestStalled ends the reading of the request that has been incomplete
 // for longest, if it should be complete by now: clients that stop in the middle
 // of a request must not hold up others.
-func (l *connectionLimiter) tightenOldestStalled(now time.Time) {
+func (l *connectionLimiter) expireOldestStalled(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var oldest *clientConn
 	var oldestSince time.Time
 	for c := range l.connections {
 		since := c.incompleteSince()
-		stalled := !since.IsZero() && now.Sub(since) >= silenceAllowance
+		stalled := !since.IsZero() && now.Sub(since) >= stallThreshold
 		if stalled && (oldest == nil || since.Before(oldestSince)) {
 			oldest = c
 			oldestSince = since
 		}
 	}
 	if oldest != nil {
-		oldest.tightenDeadline()
+		oldest.expireRequestDeadline()
 	}
 }
 
@@ -36,7 +36,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c, state := range l.idle {
-		if state.servedBefore || now.Sub(state.since) >= silenceAllowance {
+		if state.servedBefore || now.Sub(state.since) >= stallThreshold {
 			c.drain()
 		}
 	}
@@ -75,7 +75,7 @@
 	switch {
 	case s.servedBefore:
 		return betweenRequests
-	case age >= silenceAllowance:
+	case age >= stallThreshold:
 		return longSilent
 	case age >= evictionGrace:
 		return newlyAccepted
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -90,8 +90,8 @@
 		state   idleState
 		drained bool
 	}{
-		{"new", idleState{since: now.Add(-silenceAllowance / 2)}, false},
-		{"silent", idleState{since: now.Add(-silenceAllowance)}, true},
+		{"new", idleState{since: now.Add(-stallThreshold / 2)}, false},
+		{"silent", idleState{since: now.Add(-stallThreshold)}, true},
 		{"between requests", idleState{since: now, servedBefore: true}, true},
 	} {
 		conn, _ := connectionPair(t)
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -122,10 +122,10 @@
 	if c, ok := ctx.Value(clientConnKey{}).(*clientConn); ok {
 		c.setRequestOpen(true)
 		defer c.setRequestOpen(false) // before the client can receive its response
-		if c.clientLeft(ctx) {
+		if c.clientDisconnected(ctx) {
 			return response{}, false
 		}
-		req.upstream.ClientLeft = c.clientLeftNow
+		req.upstream.ClientLeft = c.clientDisconnectedNow
 	}
 	req.ctx, req.cancel = context.WithCancel(ctx)
 	defer req.cancel()
--- a/internal/node/headers.go
+++ b/internal/node/headers.go
@@ -10,7 +10,7 @@
 	headerWorkHint       = "X-Cost-Hint"     // the expected work, in µs
 	headerIdempotencyKey = "Idempotency-Key" // by which endpoints drop repeats
 
-	isRetry = "1"
+	retryValue = "1"
 )
 
 // Headers of an endpoint's response that concern the node only.
--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -94,7 +94,7 @@
 		return arrival, 0, rejectionf(http.StatusBadRequest, headerTimeout+": %w", err)
 	}
 	arrival.Tenant = r.Header.Get(headerTenant)
-	arrival.IsRetry = r.Header.Get(headerRetry) == isRetry
+	arrival.IsRetry = r.Header.Get(headerRetry) == retryValue
 	arrival.WorkHint, arrival.HasWorkHint = parseWorkHint(r.Header.Get(headerWorkHint))
 	arrival.Key = r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:]
 	return arrival, timeout, nil
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -22,7 +22,7 @@
 func (c *clientConn) takeReadAhead(b []byte) int {
 	n, receivedAt := c.readAhead.take(b)
 	c.limiter.readAheadBytes.Add(int64(-n))
-	if !isWatch(b) {
+	if !isBackgroundRead(b) {
 		c.receivedAt = receivedAt
 	}
 	c.startReadAhead(b)
@@ -32,7 +32,7 @@
 // startReadAhead starts reading ahead after a read into b by which net/http
 // watches the connection. The caller holds c.mu.
 func (c *clientConn) startReadAhead(b []byte) {
-	if !isWatch(b) {
+	if !isBackgroundRead(b) {
 		return
 	}
 	c.nextRequestStarted = true
--- a/internal/node/readdeadline.go
+++ b/internal/node/readdeadline.go
@@ -36,24 +36,24 @@
 	return c.requestStartedAt
 }
 
-// tightenDeadline ends the reading of a request that is still incomplete.
-func (c *clientConn) tightenDeadline() {
+// expireRequestDeadline ends the reading of a request that is still incomplete.
+func (c *clientConn) expireRequestDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.requestStartedAt.IsZero() {
 		return
 	}
-	c.tightened = true
+	c.expiredForSlot = true
 	c.requestStartedAt = time.Time{}
 	c.requestDeadline = time.Now()
 	c.applyDeadline()
 }
 
-// wasTightened reports whether tightenDeadline has ended a request.
-func (c *clientConn) wasTightened() bool {
+// wasExpiredForSlot reports whether tightenDeadline has ended a request.
+func (c *clientConn) wasExpiredForSlot() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.tightened
+	return c.expiredForSlot
 }
 
 // clearRequestTimes forgets the times of the request that was being received.
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -50,7 +50,7 @@
 func reject(w http.ResponseWriter, r *http.Request, err error) {
 	w.Header().Set("Connection", "close")
 	if c, ok := r.Context().Value(clientConnKey{}).(*clientConn); ok {
-		if c.wasTightened() {
+		if c.wasExpiredForSlot() {
 			closeAfterResponse(w)
 			return
 		}
