--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -54,11 +54,11 @@
 	}
 }
 
-// TestTimeInListenerQueueCounts: a request waits in the listener's queue while
+// TestListenerQueueTimeReducesDeadline: a request waits in the listener's queue while
 // Accept fails. The deadline sent to the backend is no more than what is left
 // of the client's timeout; with nothing left the request is rejected at once
 // and not sent.
-func TestTimeInListenerQueueCounts(t *testing.T) {
+func TestListenerQueueTimeReducesDeadline(t *testing.T) {
 	const slack = 150 * time.Millisecond // allowed by the operators' pages
 	for _, clientTimeout := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
 		t.Run(clientTimeout.String(), func(t *testing.T) {
--- a/internal/node/arrival_test.go
+++ b/internal/node/arrival_test.go
@@ -16,23 +16,23 @@
 	// is left of the client's timeout, by the operators' pages.
 	deadlineSlack = 150 * time.Millisecond
 
-	// heldUpTime is for how long these tests hold up a request. A node that does
+	// injectedDelay is for how long these tests hold up a request. A node that does
 	// not count it exceeds the slack.
-	heldUpTime = 400 * time.Millisecond
+	injectedDelay = 400 * time.Millisecond
 )
 
-// TestTimeUnreadCounts: a process that is held up reads a request late. The
+// TestUnreadTimeReducesDeadline: a process that is held up reads a request late. The
 // deadline sent to the backend is no more than what is left to the client.
-func TestTimeUnreadCounts(t *testing.T) {
+func TestUnreadTimeReducesDeadline(t *testing.T) {
 	const clientTimeout = 3 * time.Second
 	backend, requests := startOKBackend(t)
 	var delay atomic.Int64
 	n := startNodeOn(t, lateReadListener{newListener(t), &delay}, func(*Config) {}, backend)
 	c := n.dial(t)
 	for _, name := range []string{"first", "second"} {
-		delay.Store(int64(heldUpTime))
+		delay.Store(int64(injectedDelay))
 		c.sendPost(t, name, fmt.Sprint(clientTimeout.Seconds()))
-		left := clientTimeout - heldUpTime // at most
+		left := clientTimeout - injectedDelay // at most
 		if d := deadlineOf(t, receive(t, requests, name)); d > left+deadlineSlack {
 			t.Errorf("the %s request: sent with a deadline of %v, and at most %v was left", name, d, left)
 		}
@@ -43,10 +43,10 @@
 	}
 }
 
-// TestPipelinedRequestKeepsItsTime: a request waits behind another one of its
+// TestPipelinedRequestDeadline: a request waits behind another one of its
 // connection, and a third arrives later. The deadline sent with the second is no
 // more than what is left to its client.
-func TestPipelinedRequestKeepsItsTime(t *testing.T) {
+func TestPipelinedRequestDeadline(t *testing.T) {
 	const clientTimeout = 20 * time.Second
 	for name, withFirst := range map[string]bool{"sent with the first": true, "sent while the first is open": false} {
 		t.Run(name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 				sentAt = time.Now()
 				io.WriteString(c, second)
 			}
-			time.Sleep(heldUpTime)
+			time.Sleep(injectedDelay)
 			io.WriteString(c, postText("third", "20"))
 			delayVisibly() // until the node has read it
 			left := clientTimeout - time.Since(sentAt)
@@ -91,10 +91,10 @@
 	}
 }
 
-// TestEachSlotWaitCounts: requests wait in the listener's queue while connections
+// TestSlotWaitKeepsReceiveTime: requests wait in the listener's queue while connections
 // ahead of them wait for a slot, one after the other. They are dated by when they
 // arrived.
-func TestEachSlotWaitCounts(t *testing.T) {
+func TestSlotWaitKeepsReceiveTime(t *testing.T) {
 	const clients = 4
 	l := newConnectionLimiter(newListener(t), 1, discardLog)
 	receivedAt, release := make(chan time.Time, clients), make(chan bool, clients)
@@ -113,11 +113,11 @@
 		sentAt = append(sentAt, time.Now())
 	}
 	for i := range clients {
-		dated := receive(t, receivedAt, "a request")
-		if late := dated.Sub(sentAt[i]); late > deadlineSlack {
+		received := receive(t, receivedAt, "a request")
+		if late := received.Sub(sentAt[i]); late > deadlineSlack {
 			t.Errorf("request %d is dated %v after it was sent", i, late)
 		}
-		time.Sleep(heldUpTime)
+		time.Sleep(injectedDelay)
 		release <- true
 	}
 }
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -19,10 +19,10 @@
 // request gets an error or a close.
 const rejectionLimit = 3 * time.Second
 
-// TestDrainSparesRequest: a request is not cut off that has begun to arrive, or
+// TestDrainKeepsArrivingRequest: a request is not cut off that has begun to arrive, or
 // waits unread, or is read in the very moment in which its connection is
 // drained.
-func TestDrainSparesRequest(t *testing.T) {
+func TestDrainKeepsArrivingRequest(t *testing.T) {
 	buffer := make([]byte, 100)
 	t.Run("unread", func(t *testing.T) {
 		c, client := connectionPair(t)
@@ -82,12 +82,12 @@
 	})
 }
 
-// TestDrainSparesReadRequest: a connection becomes idle and is given up in the
+// TestDrainKeepsPipelinedRequest: a connection becomes idle and is given up in the
 // same moment, by the shutdown or by an eviction, while its next request has
 // been read already after the one before. That request is served, and its
 // connection keeps its slot meanwhile.
-func TestDrainSparesReadRequest(t *testing.T) {
-	for name, giveUp := range map[string]func(l *connectionLimiter){
+func TestDrainKeepsPipelinedRequest(t *testing.T) {
+	for name, closeIdle := range map[string]func(l *connectionLimiter){
 		"at the shutdown": func(l *connectionLimiter) { l.drain(time.Now()) },
 		"at the maximum of connections": func(l *connectionLimiter) {
 			l.mu.Lock()
@@ -107,11 +107,11 @@
 				}
 			}))
 			l := newConnectionLimiter(newListener(t), 1, discardLog)
-			giveUpOnce := sync.OnceFunc(func() { giveUp(l) })
+			closeIdleOnce := sync.OnceFunc(func() { closeIdle(l) })
 			trackState := func(c net.Conn, state http.ConnState) {
 				l.trackState(c, state)
 				if state == http.StateIdle {
-					giveUpOnce()
+					closeIdleOnce()
 				}
 			}
 			srv := &http.Server{Handler: n.frontend, ConnContext: l.connContext, IdleTimeout: idleTimeout, ConnState: trackState}
--- a/internal/node/connlimit_test.go
+++ b/internal/node/connlimit_test.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// TestCrowdOfIdleClients: a crowd of idle clients takes all slots at once.
+// TestBurstOfIdleConnections: a burst of idle clients takes all slots at once.
 // Requests on connections that arrive right after it are answered, each on its
 // first connection.
-func TestCrowdOfIdleClients(t *testing.T) {
+func TestBurstOfIdleConnections(t *testing.T) {
 	backend, _ := startOKBackend(t)
 	n := startNodeOn(t, newListener(t), func(c *Config) { c.Sockets = 128 }, backend)
 	for range 3 {
-		var crowd sync.WaitGroup
+		var idleClients sync.WaitGroup
 		for range 5 * n.frontend.maxConnections {
-			crowd.Add(1)
+			idleClients.Add(1)
 			go func() {
-				defer crowd.Done()
+				defer idleClients.Done()
 				c, err := net.Dial("tcp", n.address)
 				if err != nil {
-					t.Errorf("a client of the crowd: %v", err)
+					t.Errorf("dialing as an idle client: %v", err)
 					return
 				}
 				c.SetReadDeadline(time.Now().Add(testTimeout))
@@ -48,7 +48,7 @@
 				}
 			}
 		}
-		crowd.Wait()
+		idleClients.Wait()
 	}
 }
 
@@ -84,19 +84,19 @@
 	}
 }
 
-// TestLastingCrowd: idle clients reconnect for longer than a request's timeout,
+// TestSustainedIdleReconnects: idle clients reconnect for longer than a request's timeout,
 // so that the listener's queue is never empty. What arrives then has not waited
 // all along, and is served.
-func TestLastingCrowd(t *testing.T) {
+func TestSustainedIdleReconnects(t *testing.T) {
 	const clientTimeout = time.Second
 	backend, _ := startOKBackend(t)
 	n := startNodeOn(t, newListener(t), func(c *Config) { c.Sockets = 64 }, backend)
 	done := make(chan struct{})
-	var crowd sync.WaitGroup
+	var idleClients sync.WaitGroup
 	for range 16 * n.frontend.maxConnections {
-		crowd.Add(1)
+		idleClients.Add(1)
 		go func() {
-			defer crowd.Done()
+			defer idleClients.Done()
 			for {
 				select {
 				case <-done:
@@ -123,7 +123,7 @@
 	close(done)
 	n.stop()
 	n.endServingPhase()
-	crowd.Wait()
+	idleClients.Wait()
 	if served < 9 {
 		t.Errorf("%d of 10 requests are served", served)
 	}
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -105,12 +105,12 @@
 	t.Run("held by a health check", testClientLeavesDuringHealthCheck)
 }
 
-// noOwnEvents are settings with which the balancer sets no timer during a test.
-func noOwnEvents(s *balancer.Settings) { s.MinEventInterval = time.Hour }
+// disableBalancerTimers are settings with which the balancer sets no timer during a test.
+func disableBalancerTimers(s *balancer.Settings) { s.MinEventInterval = time.Hour }
 
-// mustHoldNoRequest checks that no request is open. It runs in place of the loop,
+// mustHaveNoOpenRequests checks that no request is open. It runs in place of the loop,
 // which release lets go on.
-func (n *testNode) mustHoldNoRequest(t *testing.T, release func()) {
+func (n *testNode) mustHaveNoOpenRequests(t *testing.T, release func()) {
 	t.Helper()
 	if k := len(n.requests); k != 0 {
 		t.Errorf("%d requests are still open", k)
@@ -122,7 +122,7 @@
 // leaves.
 func testClientLeavesInEventQueue(t *testing.T, more string) {
 	address, got := startRecordingBackend(t)
-	n := startNodeWith(t, noOwnEvents, address)
+	n := startNodeWith(t, disableBalancerTimers, address)
 	release := n.blockLoop(t)
 	c := n.dial(t)
 	c.sendGet(t, "saldo", "q", "60")
@@ -130,13 +130,13 @@
 	io.WriteString(c, more)
 	n.disconnect(t, c)
 	startRequest()
-	n.mustHoldNoRequest(t, release)
+	n.mustHaveNoOpenRequests(t, release)
 	n.mustNotSend(t, got, "q")
 }
 
 func testClientClosesSendingInEventQueue(t *testing.T) {
 	address, got := startRecordingBackend(t)
-	n := startNodeWith(t, noOwnEvents, address)
+	n := startNodeWith(t, disableBalancerTimers, address)
 	release := n.blockLoop(t)
 	c := n.dial(t)
 	c.sendGet(t, "saldo", "q", "60")
@@ -146,7 +146,7 @@
 		t.Errorf("status %d, want a failure", s)
 	}
 	startRequest()
-	n.mustHoldNoRequest(t, release)
+	n.mustHaveNoOpenRequests(t, release)
 	n.mustNotSend(t, got, "q")
 }
 
@@ -171,7 +171,7 @@
 			io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		}
 	}
-	n := startNodeWith(t, noOwnEvents, startBackend(t, serve), startBackend(t, serve))
+	n := startNodeWith(t, disableBalancerTimers, startBackend(t, serve), startBackend(t, serve))
 	c := n.dial(t)
 	c.sendGet(t, "saldo", "q", "60")
 	receive(t, got, "the attempt")
@@ -180,14 +180,14 @@
 	finishAttempt := receive(t, n.events, "the attempt's end")
 	n.disconnect(t, c)
 	finishAttempt()
-	n.mustHoldNoRequest(t, release)
+	n.mustHaveNoOpenRequests(t, release)
 	n.mustNotSend(t, got, "q")
 }
 
 func testClientLeavesDuringHealthCheck(t *testing.T) {
 	address, got := startRecordingBackend(t)
 	n := startNodeWith(t, func(s *balancer.Settings) {
-		noOwnEvents(s) // the health check lasts until the test ends it
+		disableBalancerTimers(s) // the health check lasts until the test ends it
 		s.HealthChecksAllowed = true
 		s.LoadReportSource = balancer.LoadReportsByHealthCheck
 	}, address)
@@ -201,7 +201,7 @@
 	}
 	id, _ := n.directory.ID("s-0")
 	n.handle(balancer.HealthCheckEnded{Endpoint: id, Report: &balancer.LoadReport{HasInFlight: true}})
-	n.mustHoldNoRequest(t, release)
+	n.mustHaveNoOpenRequests(t, release)
 	if len(got) > 0 {
 		t.Errorf("request %q is sent though its client has left", <-got)
 	}
@@ -276,10 +276,10 @@
 	n.mustNotSend(t, got, "q")
 }
 
-// TestDepartureIsSeenBeforeSend: a client leaves while a connection for its
+// TestDisconnectDetectedBeforeSend: a client leaves while a connection for its
 // request comes up, and no reader has seen it yet. The request must not be
 // sent.
-func TestDepartureIsSeenBeforeSend(t *testing.T) {
+func TestDisconnectDetectedBeforeSend(t *testing.T) {
 	for name, leave := range map[string]func(c testClient){
 		"closed": func(c testClient) { c.Close() },
 		"reset":  func(c testClient) { c.SetLinger(0); c.Close() },
@@ -301,9 +301,9 @@
 	}
 }
 
-// TestDepartureBehindUnreadBytes: a client leaves, and its departure stands behind
+// TestDisconnectBehindUnreadBytes: a client leaves, and its departure stands behind
 // bytes that the node has not come to read. It is seen all the same.
-func TestDepartureBehindUnreadBytes(t *testing.T) {
+func TestDisconnectBehindUnreadBytes(t *testing.T) {
 	for name, linger := range map[string]int{"closed": -1, "reset": 0} {
 		t.Run(name, func(t *testing.T) {
 			c, client := connectionPair(t)
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -80,10 +80,10 @@
 	}
 }
 
-// TestDrainSparesNewConnections: the first request of a new connection is on
+// TestDrainKeepsNewConnections: the first request of a new connection is on
 // its way. Connections that have been silent for long, or have served a
 // request, are closed.
-func TestDrainSparesNewConnections(t *testing.T) {
+func TestDrainKeepsNewConnections(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name    string
@@ -105,10 +105,10 @@
 	}
 }
 
-// TestStalledRequestsAreTightened: bad clients stop in the middle of their
+// TestStalledRequestsExpire: bad clients stop in the middle of their
 // requests on all connections for which a node has slots. A request that
 // arrives then is still answered within its timeout.
-func TestStalledRequestsAreTightened(t *testing.T) {
+func TestStalledRequestsExpire(t *testing.T) {
 	const clientTimeout = time.Second
 	backend, _ := startOKBackend(t)
 	for name, part := range map[string]string{
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestServes: a request and its response pass the node with their end-to-end
+// TestForwardsRequestAndResponse: a request and its response pass the node with their end-to-end
 // headers.
-func TestServes(t *testing.T) {
+func TestForwardsRequestAndResponse(t *testing.T) {
 	seen := make(chan *http.Request, 1)
 	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
--- a/internal/node/parse_test.go
+++ b/internal/node/parse_test.go
@@ -56,10 +56,10 @@
 	}
 }
 
-// TestNoRequestHidesInAnother: a body whose end two readers see in two places
+// TestRequestSmuggling: a body whose end two readers see in two places
 // may hide a request. None of it may reach a backend, and the connection is
 // closed.
-func TestNoRequestHidesInAnother(t *testing.T) {
+func TestRequestSmuggling(t *testing.T) {
 	backend, got, _ := startStallingBackend(t)
 	n := startNode(t, backend)
 	hidden := "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: hidden\r\nX-Class: saldo\r\nX-Deadline: 60\r\n\r\n"
--- a/internal/node/readahead_test.go
+++ b/internal/node/readahead_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestEarlyRequestIsServed: a client that sends its next requests after an open
+// TestPipelinedRequestsAreServed: a client that sends its next requests after an open
 // one is served all of them, one after the other.
-func TestEarlyRequestIsServed(t *testing.T) {
+func TestPipelinedRequestsAreServed(t *testing.T) {
 	release, got := make(chan struct{}), make(chan bool, 30)
 	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestReadAheadDates: bytes that arrive one by one share a date only for a short
+// TestReadAheadTimestamps: bytes that arrive one by one share a date only for a short
 // time, and each read returns bytes of one date.
-func TestReadAheadDates(t *testing.T) {
+func TestReadAheadTimestamps(t *testing.T) {
 	var buffer readAheadBuffer
 	var start time.Time
 	for _, part := range []struct {
