--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -10,28 +10,30 @@
 )
 
 const (
-	minAcceptBackoff = time.Millisecond      // pause after a failed Accept; doubles with each further failure
-	maxAcceptBackoff = 20 * time.Millisecond // the longest such pause: the deadlines of queued requests are running
+	minAcceptBackoff = time.Millisecond      // pause after the first failed Accept; doubles with each further failure
+	maxAcceptBackoff = 20 * time.Millisecond // longest pause: the timeouts of queued requests keep running
 	emptyQueueWait   = time.Millisecond      // an Accept that blocks for at least this long found its queue empty
-	queueDrainTime   = time.Second           // after a failure; what was queued meanwhile has been accepted by then
+	queueDrainTime   = time.Second           // time after a failure by which everything queued during it has been accepted
 )
 
-// acceptor accepts connections from a listener. It retries transient failures
-// and reports since when each connection may have waited in the listener's
-// queue, as far as that can be told from outside the kernel: it stands in where
-// sockets.SinceLastReceived knows nothing. It is used by one goroutine at a time.
+// acceptor accepts connections from a listener and retries transient failures.
+// It also estimates, without help from the kernel, since when each connection
+// may have waited in the listener's queue. The estimate is used where
+// sockets.SinceLastReceived returns 0. An acceptor is not safe for concurrent
+// use.
 type acceptor struct {
 	net.Listener
 	log *slog.Logger
 
-	failingSince  time.Time // first of a series of failures; zero: the queue has been empty since
-	lastFailure   time.Time // last failure of that series
-	slotWaitSince time.Time // start of the last wait for a slot; zero: the queue has been empty, or a connection taken, since
+	failingSince  time.Time // start of the current series of failures; zero: none, or the queue has been empty since
+	lastFailure   time.Time // the last failure of that series
+	slotWaitSince time.Time // start of the last wait for a slot; zero: since then, queue empty or connection accepted
 }
 
-// acceptNext accepts a connection. Everything received on it so far was sent at
-// queuedSince or later. The exception is a queue that is never empty while
-// clients wait for slots one after the other: only the last wait counts then.
+// acceptNext accepts a connection. Everything received on the connection so far
+// was sent at queuedSince or later. There is one exception: if the queue is
+// never empty while connections wait for slots one after another, queuedSince
+// covers only the last of these waits.
 func (a *acceptor) acceptNext() (c net.Conn, queuedSince time.Time, err error) {
 	backoff := minAcceptBackoff
 	for failures := 0; ; failures++ {
@@ -55,7 +57,7 @@
 			return nil, time.Time{}, err
 		}
 		if failures == 0 {
-			a.log.Warn("accepting a client failed, retrying", "err", err)
+			a.log.Warn("accepting a client connection failed, retrying", "err", err)
 		}
 		a.failingSince = cmp.Or(a.failingSince, a.slotWaitSince, called)
 		a.lastFailure = now
@@ -64,13 +66,15 @@
 	}
 }
 
-// noteSlotWait records that no connection has been taken from the queue since then.
+// noteSlotWait records that no connection has been taken from the listener's
+// queue since the given time.
 func (a *acceptor) noteSlotWait(since time.Time) { a.slotWaitSince = since }
 
 // isTransientAcceptError reports whether Accept may be called again after err.
-// Linux reports network errors of the connection that it was about to return
-// (accept(2)), and shortages of memory or descriptors pass. Only the errors of a
-// listener that is closed or invalid are permanent.
+// On Linux, Accept also returns network errors of the connection that it was
+// about to return (see accept(2)), and shortages of memory or descriptors pass.
+// Only the errors of a listener that is closed or invalid are permanent, and so
+// is an error without an errno.
 func isTransientAcceptError(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
--- a/internal/node/arrival.go
+++ b/internal/node/arrival.go
@@ -7,24 +7,25 @@
 	"bankshift/internal/sockets"
 )
 
-// lastReceivedAt returns when the bytes arrived that net/http has read last. What
-// it has parsed of them was sent then or earlier.
+// lastReceivedAt returns when the bytes that net/http has read last arrived.
+// Whatever net/http has parsed of them was sent at that time or earlier.
 func (c *clientConn) lastReceivedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.receivedAt
 }
 
-// isBackgroundRead reports whether a read into b is how net/http watches a connection
-// while a request is open: it reads a single byte.
+// isBackgroundRead reports whether a read into b is the one by which net/http
+// monitors a connection while a request is open: that one reads a single byte.
 func isBackgroundRead(b []byte) bool { return len(b) == 1 }
 
-// arrivalTime returns when the bytes arrived at this machine that have just been
-// read from Conn. They may have lain there for a while, in the listener's queue or
-// as the process was not running, and their client's timeout has been running
-// since. The caller holds c.mu.
+// arrivalTime returns when the bytes that have just been read from Conn arrived
+// at this machine. They may have waited there, in the listener's queue or while
+// the process was not running, and the client's timeout has been running since.
+// The caller holds c.mu.
 func (c *clientConn) arrivalTime() time.Time {
-	// Taken first: what holds the process up from here on makes the result earlier.
+	// Taken first: if the process is delayed after this line, the result is too early,
+	// not too late.
 	now := time.Now()
 	if age := sockets.SinceLastReceived(c.Conn); age > 0 {
 		return now.Add(-age)
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -9,85 +9,89 @@
 	"bankshift/internal/sockets"
 )
 
-// pastDeadline ends a read that is under way when it is set as a deadline.
+// pastDeadline, set as a read deadline, interrupts a read that is in progress.
 var pastDeadline = time.Unix(1, 0)
 
 // clientConn is a client's connection as net/http reads it. In addition to
 // net.Conn it
-//   - notices that a client has left that had sent more than its open request,
-//     by reading ahead (readahead.go, departure.go);
-//   - limits the time for a request from its first byte on;
+//   - detects that a client has disconnected even if it had sent more after
+//     its open request, by reading ahead (readahead.go, departure.go);
+//   - limits the time for receiving a request, from its first byte on;
 //   - can be drained, that is closed without cutting off a request that has
 //     begun to arrive.
 //
-// It is made by connectionLimiter.Accept; net/http closes it.
+// connectionLimiter.Accept creates it; net/http closes it.
 type clientConn struct {
 	net.Conn
 	limiter      *connectionLimiter
 	slotReleased bool      // guarded by limiter.mu
 	acceptedAt   time.Time // set once
 
-	// cancelRequests ends the contexts of the connection's requests. It is set
-	// once, before the first read.
+	// cancelRequests cancels the contexts of the connection's requests. It is
+	// set once, before the first read.
 	cancelRequests context.CancelFunc
 
 	mu sync.Mutex // guards what follows
 
-	// httpDeadline is the deadline for reads as net/http sets it.
+	// httpDeadline is the read deadline that net/http has set.
 	httpDeadline time.Time
 
-	// requestDeadline applies in place of httpDeadline while a request is being
-	// received: it is when that request has to be complete. Zero: none is.
+	// requestDeadline is when the request that is being received must be
+	// complete. It then applies in place of httpDeadline. Zero: no request is
+	// being received.
 	requestDeadline time.Time
 
 	// requestStartedAt is when the first byte of the request that is being
-	// received was read. Zero: none is, or it has been given up.
+	// received was read. Zero: no request is being received, or it has been
+	// rejected or expired.
 	requestStartedAt time.Time
 
-	// expiredForSlot: the request being received was given up because others need
-	// the connection's slot.
+	// expiredForSlot: the deadline of a request being received was moved to the
+	// present because other connections wait for a slot.
 	expiredForSlot bool
 
 	// servedBefore: the connection has carried a request.
 	servedBefore bool
 
-	// receivedAt is when the bytes arrived that net/http has read last, but for
-	// the single byte by which it watches the connection of an open request: that
-	// begins a later request.
+	// receivedAt is when the bytes that net/http has read last arrived. The
+	// single byte by which net/http monitors the connection during an open
+	// request does not count, because it begins a later request.
 	receivedAt time.Time
 
 	// queuedSince is since when the bytes of the first request may have waited
-	// in the listener's queue, for arrivalTime. Zero: there were none yet at the
-	// accept, or the first request has been read.
+	// in the listener's queue; arrivalTime uses it. Zero: no bytes had arrived
+	// by the accept, or the first request has been read.
 	queuedSince time.Time
 
 	// receivedSinceIdle: bytes have been received since the connection last
 	// became idle.
 	receivedSinceIdle bool
 
-	// nextRequestStarted: a byte of the next request has been received while
-	// one was open.
+	// nextRequestStarted: a byte of the next request has been received while a
+	// request was open.
 	nextRequestStarted bool
 
-	// draining: nothing may be read any more, so that the connection ends.
+	// draining: nothing more may be read; reads fail, so that net/http closes
+	// the connection.
 	draining bool
 
 	// requestOpen: a request has been read to its end and is not answered yet.
 	requestOpen bool
 
-	// readingAhead: readAheadLoop runs, and is the only reader of Conn.
+	// readingAhead: readAheadLoop is running and is the only reader of Conn.
 	readingAhead bool
 
 	// readAheadStopped is signaled when readingAhead becomes false.
 	readAheadStopped sync.Cond
 
-	// readAhead is what has been read ahead, counted in limiter.readAheadBytes.
+	// readAhead holds the bytes read ahead. limiter.readAheadBytes counts them
+	// too.
 	readAhead readAheadBuffer
 
 	// closed: Close has been called.
 	closed bool
 
-	// err is why the connection has been aborted, nil if it has not been.
+	// err is why the connection has been aborted; nil if it has not been.
 	err error
 }
 
@@ -107,9 +111,9 @@
 	return conn
 }
 
-// Read returns what was read ahead first. While a request is open, net/http
-// waits for a single byte or the connection's end. After that byte it no longer
-// reads, so what follows is read ahead from here.
+// Read returns bytes that were read ahead before it reads from Conn. While a
+// request is open, net/http reads a single byte to detect the connection's end.
+// After that byte it stops reading, so readAheadLoop reads what follows.
 func (c *clientConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	if c.readingAhead && c.readAhead.empty() {
@@ -136,13 +140,13 @@
 		c.receivedAt = c.arrivalTime()
 	}
 	c.noteReceived()
-	c.stopDraining() // what arrived as the connection was being drained has to be answered
+	c.stopDraining() // bytes that arrived while the connection was being drained must be answered
 	c.startReadAhead(b)
 	return n, err
 }
 
-// setRequestOpen records whether a request that has been read to its end waits
-// for its response.
+// setRequestOpen records whether a request that has been read to its end is
+// waiting for its response.
 func (c *clientConn) setRequestOpen(open bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,8 +157,9 @@
 }
 
 // setActive records that the connection carries a request, to which all bytes
-// read so far belong. They may have been read after the previous request, and
-// the connection drained since: the request has to be answered.
+// read so far belong. These bytes may have been read right after the previous
+// request, and the connection may have been drained since. Draining stops,
+// because the request must be answered.
 func (c *clientConn) setActive() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -174,10 +179,11 @@
 	}
 }
 
-// drain ends the connection if no part of a request has been received on it, and
-// reports whether it does. The reader ends it, which then cannot have read one. A
-// request that arrives later has not been read by the node, and its client sends
-// it again.
+// drain ends the connection if no part of a request has been received on it,
+// and reports whether the connection is ending. It only makes reads fail, and
+// the goroutine that reads then closes the connection, so it cannot have read
+// part of a request. The node has not read a request that arrives later, and
+// its client sends it again.
 func (c *clientConn) drain() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,7 +195,7 @@
 	return true
 }
 
-// stopDraining lets the connection be read again. The caller holds c.mu.
+// stopDraining allows reads from the connection again. The caller holds c.mu.
 func (c *clientConn) stopDraining() {
 	if !c.draining {
 		return
@@ -208,8 +214,8 @@
 	return err
 }
 
-// CloseWrite closes the sending side alone. net/http uses it to let a client read
-// the response to a request of which it has not sent everything.
+// CloseWrite closes only the sending side. net/http uses it so that a client
+// can read the response to a request that it has not sent completely.
 func (c *clientConn) CloseWrite() error {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok {
--- a/internal/node/connlimit.go
+++ b/internal/node/connlimit.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// slotPollInterval is the longest pause before an Accept that waits for a slot
-// tries again.
+// slotPollInterval is the longest time for which an Accept that waits for a
+// slot sleeps before it tries again.
 const slotPollInterval = 5 * time.Millisecond
 
-// connectionLimiter is a listener that holds the number of accepted connections
-// to a maximum, so that clients leave descriptors for the connections to
-// endpoints. One more connection is accepted from the listener and waits in
-// Accept for its slot.
+// connectionLimiter is a listener that limits the number of open client
+// connections, so that enough descriptors remain for the connections to
+// endpoints. One connection beyond the limit may have been accepted from the
+// listener; it waits inside Accept for a slot.
 //
-// A connection's own lock may be taken while mu is held, never the other way
-// round.
+// Lock order: a clientConn's mu may be locked while the limiter's mu is held,
+// never the other way round.
 type connectionLimiter struct {
 	acceptor
 	maxConnections int
-	slotFreed      chan struct{} // has a value when a slot may have become free
+	slotFreed      chan struct{} // holds a value if a slot may have become free
 	stopped        chan struct{} // closed by stopWaiting
-	readAheadBytes atomic.Int64  // bytes read ahead, of all connections
+	readAheadBytes atomic.Int64  // bytes read ahead on all connections together
 
 	mu          sync.Mutex // guards what follows
 	slotsInUse  int
@@ -37,7 +37,7 @@
 // idleState describes a connection that carries no request.
 type idleState struct {
 	since        time.Time
-	servedBefore bool // it has carried a request before
+	servedBefore bool // the connection has carried a request before
 }
 
 // newConnectionLimiter returns a limiter on ln. The caller closes ln.
@@ -52,11 +52,12 @@
 	}
 }
 
-// Accept frees a slot by closing a connection that carries no request: clients
-// that hold connections without using them must not shut out others. Where all
-// connections carry requests, the new one waits until a slot is free, and those
-// behind it wait in the listener's queue. It is not closed instead, as its first
-// request may have been received already and has to be answered.
+// Accept accepts a connection and waits until it has a slot. If no slot is
+// free, Accept closes a connection that carries no request, so that clients
+// that hold unused connections cannot lock out others. If every connection
+// carries a request, the new connection waits for a slot, and those behind it
+// wait in the listener's queue. The new connection is not closed, because its
+// first request may already have been received and must be answered.
 func (l *connectionLimiter) Accept() (net.Conn, error) {
 	c, queuedSince, err := l.acceptNext()
 	if err != nil {
@@ -78,7 +79,8 @@
 	return conn, nil
 }
 
-// acquireSlot takes a slot, if there is one or a connection can be evicted.
+// acquireSlot takes a slot if one is free or can be freed by evicting a
+// connection. It reports whether it has taken one.
 func (l *connectionLimiter) acquireSlot() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,9 +91,9 @@
 	return true
 }
 
-// waitForSlot waits until a slot may have become free: a connection has ended or
-// become idle, or the grace period of a silent one may be over. It returns false
-// once the limiter has been stopped.
+// waitForSlot waits until a slot may have become free: a connection has ended
+// or become idle, or the evictionGrace of a silent connection may have passed.
+// It returns false once the limiter has been stopped.
 func (l *connectionLimiter) waitForSlot() bool {
 	poll := time.NewTimer(slotPollInterval)
 	defer poll.Stop()
@@ -122,7 +124,7 @@
 	return l.slotsInUse
 }
 
-// trackState follows which connections carry requests. It is an
+// trackState records which connections carry requests. It is an
 // http.Server.ConnState hook.
 func (l *connectionLimiter) trackState(c net.Conn, state http.ConnState) {
 	conn, ok := c.(*clientConn)
@@ -139,7 +141,7 @@
 		l.addIdle(conn, true)
 	case http.StateActive:
 		conn.setActive()
-		if conn.slotReleased { // evicted while a request was on its way
+		if conn.slotReleased { // evicted while a request was arriving; takes a slot again
 			conn.slotReleased = false
 			l.slotsInUse++
 			l.connections[conn] = struct{}{}
@@ -162,8 +164,9 @@
 // clientConnKey is the context key of a request's *clientConn.
 type clientConnKey struct{}
 
-// connContext returns the context for the requests of a connection, which ends
-// when their client is seen to have left. It is an http.Server.ConnContext hook.
+// connContext returns the context for the requests of a connection. It is
+// canceled when the client is found to have disconnected, or has sent too much
+// after an open request. It is an http.Server.ConnContext hook.
 func (l *connectionLimiter) connContext(ctx context.Context, c net.Conn) context.Context {
 	conn, ok := c.(*clientConn)
 	if !ok {
@@ -174,8 +177,8 @@
 	return ctx
 }
 
-// releaseSlot gives the connection's slot back, once. The caller holds
-// c.limiter.mu.
+// releaseSlot gives the connection's slot back; further calls have no effect.
+// The caller holds c.limiter.mu.
 func (c *clientConn) releaseSlot() {
 	if c.slotReleased {
 		return
--- a/internal/node/departure.go
+++ b/internal/node/departure.go
@@ -7,17 +7,17 @@
 	"bankshift/internal/sockets"
 )
 
-// A request after which more has been sent waits until that has been read ahead,
-// as the client's departure may stand behind it.
+// If a client has sent more after a request, the request waits until those bytes
+// have been read ahead, because the end of the connection may follow them.
 const (
-	disconnectPollInterval = time.Millisecond      // a client that has sent its next request early loses this much
-	maxDisconnectWait      = 20 * time.Millisecond // limit: maxReadAhead is read far sooner, and some deadlines are short
+	disconnectPollInterval = time.Millisecond      // delay for a client that has sent its next request early
+	maxDisconnectWait      = 20 * time.Millisecond // maxReadAhead bytes are read far sooner, and some deadlines are short
 )
 
-// clientDisconnected reports whether the client has left by the time its request has been
-// read. Its departure may have reached the socket long before, while net/http has
-// only begun to watch for it; it may stand behind more that the client has sent,
-// which is being read ahead.
+// clientDisconnected reports whether the client has disconnected by the time
+// its request has been read. The end of the connection may have reached the
+// socket long before, while net/http has only just begun to watch for it. It
+// may also follow further bytes from the client, which are being read ahead.
 func (c *clientConn) clientDisconnected(ctx context.Context) bool {
 	for waited := time.Duration(0); ; waited += disconnectPollInterval {
 		left, unread := c.checkDisconnected()
@@ -25,21 +25,22 @@
 			return true
 		}
 		if !unread || waited >= maxDisconnectWait || !sockets.Sleep(ctx, disconnectPollInterval) {
-			return ctx.Err() != nil // it left while its earlier requests were served, or was aborted
+			return ctx.Err() != nil // disconnected while its earlier requests were served, or was aborted
 		}
 	}
 }
 
-// clientDisconnectedNow reports whether the client has ended its connection: a read would
-// return the end next, or the kernel knows of one behind what is not read yet.
+// clientDisconnectedNow reports whether the client has ended its connection:
+// the next read would return the end, or the kernel reports the end behind
+// unread bytes.
 func (c *clientConn) clientDisconnectedNow() bool {
 	left, _ := c.checkDisconnected()
 	return left
 }
 
-// checkDisconnected reports whether the client has ended its connection, and whether
-// bytes wait to be read. Only behind such bytes does the kernel know more of its
-// end than a read would find.
+// checkDisconnected reports whether the client has ended its connection, and
+// whether there are unread bytes. It asks the kernel for the connection's state
+// only if there are: otherwise a read would find the end just as well.
 func (c *clientConn) checkDisconnected() (left, unread bool) {
 	n, err := sockets.Peek(c.Conn)
 	unread = n > 0
--- a/internal/node/eviction.go
+++ b/internal/node/eviction.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// A client's first request arrives with its connection or right after it.
+// A client's first request arrives with its connection or right after it, so a
+// new connection that stays silent is evicted first.
 const (
-	stallThreshold = 250 * time.Millisecond // a new connection that is silent for longer is evicted first
+	stallThreshold = 250 * time.Millisecond // how long a new connection may be silent, or a request incomplete
 	evictionGrace  = 20 * time.Millisecond  // a new connection is not evicted within this time
 )
 
 // expireOldestStalled ends the reading of the request that has been incomplete
-// for longest, if it should be complete by now: clients that stop in the middle
-// of a request must not hold up others.
+// for longest, if that is at least stallThreshold, so that clients that stop in
+// the middle of a request do not keep their slots from others.
 func (l *connectionLimiter) expireOldestStalled(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -29,9 +30,10 @@
 	}
 }
 
-// drain closes all idle connections except new ones, whose first request is on
-// its way and would not be sent again by its client. It has to be repeated, as
-// these and the active ones become idle later.
+// drain closes all idle connections except new ones that have been silent for
+// less than stallThreshold: their first request is on its way, and their client
+// would not send it again. Callers repeat drain, because new and active
+// connections become drainable later.
 func (l *connectionLimiter) drain(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,9 +44,11 @@
 	}
 }
 
-// evict closes the connection that is least likely to be missed and releases its
-// slot. A candidate on which a request has just arrived is not idle any more,
-// though net/http has not reported it yet. The caller holds l.mu.
+// evict closes the connection that its client is least likely to need and
+// releases its slot. It reports whether there was one. If a request has just
+// arrived on a candidate, the candidate is no longer idle, although net/http
+// has not reported that yet; evict then tries the next one. The caller holds
+// l.mu.
 func (l *connectionLimiter) evict(now time.Time) bool {
 	for {
 		candidate := l.evictionCandidate(now)
@@ -63,7 +67,7 @@
 type evictionRank int
 
 const (
-	longSilent      evictionRank = iota // new, and silent for longer than silenceAllowance
+	longSilent      evictionRank = iota // new, and silent for at least stallThreshold
 	betweenRequests                     // has carried a request
 	newlyAccepted                       // new, and past its evictionGrace
 	notEvictable                        // new, and within its evictionGrace
@@ -83,9 +87,9 @@
 	return notEvictable
 }
 
-// evictionCandidate returns the connection to evict next, nil if there is none:
-// that of the lowest rank, and among those the one that has been idle longest.
-// The caller holds l.mu.
+// evictionCandidate returns the connection to evict next, or nil if there is
+// none. It is the connection of the lowest rank, and within that rank the one
+// that has been idle longest. The caller holds l.mu.
 func (l *connectionLimiter) evictionCandidate(now time.Time) *clientConn {
 	var candidate *clientConn
 	var candidateRank evictionRank
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -18,7 +18,7 @@
 	firstByteTimeout    = 2 * time.Second         // for a new connection to start a request
 	requestReadTimeout  = 2500 * time.Millisecond // for a whole request, from its first byte
 	firstRequestTimeout = 2800 * time.Millisecond // for the whole first request, from the accept
-	idleTimeout         = 2800 * time.Millisecond // between requests, as a part of the next may be in net/http's buffer
+	idleTimeout         = 2800 * time.Millisecond // between requests; part of the next may already be in net/http's buffer
 )
 
 // frontend is the HTTP server for clients: it parses their requests, passes them
@@ -26,15 +26,15 @@
 type frontend struct {
 	node           *Node
 	maxConnections int
-	idempotency    map[string]balancer.Idempotency // by the class's name
+	idempotency    map[string]balancer.Idempotency // by class name
 	connections    *connectionLimiter              // set by serve
 	phases         shutdownPhases
 
-	// keepServing returns when the first phase of the shutdown is over.
+	// keepServing blocks until the first phase of the shutdown is over.
 	keepServing func(openConnections func() int)
 
 	ready    atomic.Bool // the node knows endpoints
-	stopping atomic.Bool // the order to stop has come
+	stopping atomic.Bool // the node has been told to shut down
 	closing  atomic.Bool // responses ask clients to close their connections
 }
 
@@ -110,18 +110,19 @@
 		writeResponse(w, resp)
 		return
 	}
-	// A client that has only closed its sending side can still read. If nothing
-	// was written, net/http would send it a 200, which no endpoint has sent.
+	// A client that has closed only its sending side can still read. If the handler
+	// wrote nothing, net/http would send a 200 that comes from no endpoint.
 	w.Header().Set("Connection", "close")
 	writeResponse(w, response{status: http.StatusBadGateway})
 }
 
 // awaitResponse passes a request to the node and waits for its response. It
-// returns false if the client has left.
+// returns false if the client has disconnected or the node's event loop has
+// ended.
 func (f *frontend) awaitResponse(ctx context.Context, req *request) (response, bool) {
 	if c, ok := ctx.Value(clientConnKey{}).(*clientConn); ok {
 		c.setRequestOpen(true)
-		defer c.setRequestOpen(false) // before the client can receive its response
+		defer c.setRequestOpen(false) // before the client can receive the response
 		if c.clientDisconnected(ctx) {
 			return response{}, false
 		}
--- a/internal/node/headers.go
+++ b/internal/node/headers.go
@@ -1,22 +1,23 @@
 package node
 
-// Headers of a client's request, by the operators' protocol.
+// Headers of a client's request, as the operators' protocol defines them.
 const (
-	headerRequestID      = "X-Request-Id"    // the request's ID, a new one for each try
+	headerRequestID      = "X-Request-Id"    // the request's ID; each try of the client has a new one
 	headerClass          = "X-Class"         // the request's class
 	headerTenant         = "X-Tenant"        // the client's tenant
 	headerTimeout        = "X-Deadline"      // how long the client waits, in seconds
-	headerRetry          = "X-Retry"         // isRetry marks a client's retry
+	headerRetry          = "X-Retry"         // retryValue marks a client's retry
 	headerWorkHint       = "X-Cost-Hint"     // the expected work, in µs
-	headerIdempotencyKey = "Idempotency-Key" // by which endpoints drop repeats
+	headerIdempotencyKey = "Idempotency-Key" // lets endpoints recognize and drop repeated requests
 
 	retryValue = "1"
 )
 
-// Headers of an endpoint's response that concern the node only.
+// Headers of an endpoint's response that are meant for the node and not passed on
+// to the client.
 const (
 	headerLoadReport = "X-Load"
 	headerNotRun     = "X-Not-Run"
 )
 
-const headerRetryAfter = "Retry-After" // of a rejection: when the client may come back, in seconds
+const headerRetryAfter = "Retry-After" // in a rejection: how long the client should wait before it retries, in seconds
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	maxListenAttempts   = 50 // a node that cannot listen at all has to report it
+	maxListenAttempts   = 50 // after these the error is returned, so that a node that cannot listen at all reports it
 	listenRetryInterval = 100 * time.Millisecond
 )
 
-// Listen opens the listener for clients. For some seconds it retries where this
-// machine is short of descriptors or memory, or where the previous process still
-// holds the address.
+// Listen opens the listener for clients. It retries for some seconds
+// (maxListenAttempts times listenRetryInterval) if this machine is short of
+// descriptors, memory or ports, or if the previous process still holds the
+// address.
 func Listen(ctx context.Context, address string, log *slog.Logger) (net.Listener, error) {
 	return listenWith(ctx, net.ListenConfig{}, address, log)
 }
--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -24,7 +24,8 @@
 	maxWorkHint      = 1e12 // µs
 )
 
-// requestError is why a client's request is rejected.
+// requestError is why a client's request is rejected, with the status to
+// answer.
 type requestError struct {
 	status int // of the response
 	err    error
@@ -41,8 +42,8 @@
 // parseRequest reads a client's request to the end of its body and checks it. The
 // error is a *requestError.
 func (f *frontend) parseRequest(w http.ResponseWriter, r *http.Request) (*request, error) {
-	// Taken first: while the body is received, or while the request waits behind
-	// another one, the client's timeout is running.
+	// Taken first: the client's timeout runs while the body is received, and while
+	// the request waits behind another one on its connection.
 	receivedAt := requestReceivedAt(r)
 	arrival, timeout, err := f.parseHead(r)
 	if err != nil {
@@ -66,8 +67,8 @@
 	}, nil
 }
 
-// requestReceivedAt returns when the bytes were received from which the request's
-// head has been read.
+// requestReceivedAt returns when the bytes from which the request's head was
+// read arrived.
 func requestReceivedAt(r *http.Request) time.Time {
 	if c, ok := r.Context().Value(clientConnKey{}).(*clientConn); ok {
 		return c.lastReceivedAt()
@@ -75,8 +76,8 @@
 	return time.Now()
 }
 
-// parseHead checks a request's head. It returns what the balancer has to know of
-// the request and how long its client waits.
+// parseHead checks a request's head. It returns what the balancer needs to know
+// about the request, and how long its client waits.
 func (f *frontend) parseHead(r *http.Request) (arrival balancer.RequestArrived, timeout time.Duration, err error) {
 	if err := checkFraming(r); err != nil {
 		return arrival, 0, err
@@ -100,11 +101,13 @@
 	return arrival, timeout, nil
 }
 
-// checkFraming rejects requests whose end two readers could see in two places:
-// one could hide another request in its body, which the next reader would run.
-// Clients use Content-Length alone. net/http drops it where there is a transfer
-// coding as well, and drops the coding in HTTP/1.0, so neither can be told from a
-// sound request.
+// checkFraming rejects requests for which two HTTP parsers could disagree about
+// where the request ends: such a request could hide another one in its body,
+// which the next parser would run. Clients use Content-Length alone. net/http
+// drops Content-Length if there is a transfer coding as well, and drops the
+// transfer coding in HTTP/1.0, so these requests cannot be told from valid
+// ones. Every request with a transfer coding or in HTTP/1.0 is therefore
+// rejected.
 func checkFraming(r *http.Request) error {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
@@ -125,9 +128,9 @@
 	return balancer.RequestID(id), nil
 }
 
-// checkClass checks that a request's method and headers agree with its class: the
-// method tells an endpoint what a repetition does, so it must be what the balancer
-// assumes.
+// checkClass checks that a request's method and idempotency key agree with its
+// class. The method tells an endpoint what repeating the request does, so it
+// must match what the balancer assumes.
 func (f *frontend) checkClass(class string, r *http.Request) error {
 	idempotency, known := f.idempotency[class]
 	if !known {
@@ -149,7 +152,7 @@
 	return nil
 }
 
-// parseTimeout parses a time in seconds, and limits it to maxClientTimeout.
+// parseTimeout parses a time in seconds and caps it at maxClientTimeout.
 func parseTimeout(s string) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(s, 64)
 	if err != nil {
@@ -162,8 +165,8 @@
 	return time.Duration(math.Min(seconds, maxClientTimeout.Seconds()) * float64(time.Second)), nil
 }
 
-// parseWorkHint parses a client's estimate of the work, in µs. One that cannot be
-// used is ignored.
+// parseWorkHint parses a client's estimate of the work, in µs. It returns false
+// for a hint that cannot be used, which is ignored.
 func parseWorkHint(s string) (hint time.Duration, ok bool) {
 	microseconds, err := strconv.ParseFloat(s, 64)
 	valid := err == nil && microseconds >= 0 && microseconds < maxWorkHint
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Limits for what is read ahead, in bytes. Many requests that a client sends at
-// once are all served, one after the other. A client that goes on sending after a
-// request that is still open is aborted.
+// Limits of the bytes read ahead. A client may send many requests at once; all of
+// them are served, one after the other. The connection of a client that exceeds
+// the limit after a request that is still open is aborted.
 const (
 	maxReadAhead       = 128 << 10 // for one connection
-	maxReadAheadScarce = 16 << 10  // the same, when all connections together exceed sharedReadAhead
-	sharedReadAhead    = 4 << 20   // for all connections of a limiter
+	maxReadAheadScarce = 16 << 10  // for one connection while all connections together exceed sharedReadAhead
+	sharedReadAhead    = 4 << 20   // for all connections of a limiter together
 )
 
-var errFlooded = errors.New("client sent too much after an open request")
+var errFlooded = errors.New("client exceeded the read-ahead limit while its request was open")
 
-// takeReadAhead copies to b from what was read ahead and returns the number of
-// bytes. The caller holds c.mu.
+// takeReadAhead copies bytes that were read ahead to b and returns their
+// number. The caller holds c.mu.
 func (c *clientConn) takeReadAhead(b []byte) int {
 	n, receivedAt := c.readAhead.take(b)
 	c.limiter.readAheadBytes.Add(int64(-n))
@@ -29,8 +29,8 @@
 	return n
 }
 
-// startReadAhead starts reading ahead after a read into b by which net/http
-// watches the connection. The caller holds c.mu.
+// startReadAhead starts readAheadLoop if a read into b was one by which
+// net/http monitors the connection. The caller holds c.mu.
 func (c *clientConn) startReadAhead(b []byte) {
 	if !isBackgroundRead(b) {
 		return
@@ -44,8 +44,8 @@
 	go c.readAheadLoop()
 }
 
-// stopReadAhead interrupts readAheadLoop, waits for its end and restores the
-// deadline. The caller holds c.mu.
+// stopReadAhead interrupts readAheadLoop, waits until it has ended and restores
+// the read deadline. The caller holds c.mu.
 func (c *clientConn) stopReadAhead() {
 	c.Conn.SetReadDeadline(pastDeadline)
 	for c.readingAhead {
@@ -54,8 +54,8 @@
 	c.applyDeadline()
 }
 
-// readAheadLoop reads ahead until the client leaves, the limit is reached or Read
-// takes the connection back.
+// readAheadLoop reads ahead until the client disconnects, the limit is reached
+// or Read interrupts it to read from Conn itself.
 func (c *clientConn) readAheadLoop() {
 	var chunk [2048]byte
 	for {
@@ -66,8 +66,8 @@
 	}
 }
 
-// storeReadAhead adds the result of a read to what was read ahead. It reports
-// whether to go on.
+// storeReadAhead adds the result of a read to the bytes read ahead. It reports
+// whether readAheadLoop continues.
 func (c *clientConn) storeReadAhead(data []byte, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +87,8 @@
 	return false
 }
 
-// readAheadFull reports whether no more may be read ahead. The caller holds c.mu.
+// readAheadFull reports whether the connection has exceeded its read-ahead
+// limit. The caller holds c.mu.
 func (c *clientConn) readAheadFull() bool {
 	limit := maxReadAhead
 	if c.limiter.readAheadBytes.Load() > sharedReadAhead {
@@ -96,16 +97,19 @@
 	return c.readAhead.size > limit
 }
 
-// abortIfFlooded aborts the connection of a client that has sent too much after a
-// request that is not answered. A client whose request has been answered may
-// have sent its next one already, however long that is. The caller holds c.mu.
+// abortIfFlooded aborts the connection of a client that has exceeded the
+// read-ahead limit after an open request. Once the request has been answered
+// the limit does not abort the connection: the client may already be sending
+// its next request, however long that is. The caller holds c.mu.
 func (c *clientConn) abortIfFlooded() {
 	if c.requestOpen && c.readAheadFull() {
 		c.abort(errFlooded)
 	}
 }
 
-// abort ends the connection's requests. The caller holds c.mu.
+// abort cancels the connection's requests and makes reads return err once the
+// bytes read ahead are used up. Only the first call has an effect. The caller
+// holds c.mu.
 func (c *clientConn) abort(err error) {
 	if c.err != nil {
 		return
@@ -114,7 +118,7 @@
 	c.cancelRequests()
 }
 
-// discardReadAhead drops what was read ahead, when the connection is closed.
+// discardReadAhead drops the bytes read ahead when the connection is closed.
 func (c *clientConn) discardReadAhead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/readaheadbuffer.go
+++ b/internal/node/readaheadbuffer.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// chunkMergeTime is how much later bytes may have arrived that are dated like
-// those before them, so that bytes sent one by one need few dates.
+// chunkMergeTime is how long after a chunk's first byte further bytes are added
+// to the chunk and share its timestamp, so that bytes sent one by one need few
+// chunks.
 const chunkMergeTime = 5 * time.Millisecond
 
-// readAheadBuffer holds what has been read ahead, and when each part of it
+// readAheadBuffer holds the bytes read ahead and when each part of them
 // arrived. The zero value is empty.
 type readAheadBuffer struct {
 	chunks []readAheadChunk // oldest first, none of them empty
 	size   int              // bytes in all chunks
 }
 
-// readAheadChunk is a part of what was read ahead.
+// readAheadChunk is a part of the bytes read ahead.
 type readAheadChunk struct {
 	data       []byte
 	receivedAt time.Time // of the first byte; the others arrived within chunkMergeTime
@@ -38,9 +39,8 @@
 }
 
 // take removes bytes from the front, copies them to b and returns their number
-// and when they arrived. There must be some, and b must have room. They are of
-// one chunk, so that a request that arrived earlier than the next is not dated
-// like that one.
+// and when they arrived. Neither the buffer nor b may be empty. All bytes come
+// from one chunk, so that a request does not get the timestamp of a later one.
 func (r *readAheadBuffer) take(b []byte) (n int, receivedAt time.Time) {
 	first := &r.chunks[0]
 	n = copy(b, first.data)
@@ -51,7 +51,7 @@
 		r.chunks = r.chunks[1:]
 	}
 	if r.empty() {
-		r.chunks = nil // hundreds of connections would keep their buffers
+		r.chunks = nil // releases the memory, which hundreds of connections would otherwise keep
 	}
 	return n, receivedAt
 }
--- a/internal/node/readdeadline.go
+++ b/internal/node/readdeadline.go
@@ -3,8 +3,8 @@
 import "time"
 
 // noteReceived records that a part of a request has been received. The first
-// byte starts the request's own deadline, as net/http's time-outs are those of an
-// idle connection up to its fourth byte. The caller holds c.mu.
+// byte starts requestDeadline, because net/http applies its timeouts for idle
+// connections up to the fourth byte of a request. The caller holds c.mu.
 func (c *clientConn) noteReceived() {
 	if !c.receivedSinceIdle && !c.requestOpen {
 		c.requestStartedAt = time.Now()
@@ -18,8 +18,8 @@
 	c.receivedSinceIdle = true
 }
 
-// setRequestDeadline replaces the deadline of the request that is being received
-// and has been rejected.
+// setRequestDeadline replaces the deadline of a request that has been rejected
+// while it is still being received.
 func (c *clientConn) setRequestDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,15 +28,16 @@
 	c.applyDeadline()
 }
 
-// incompleteSince returns when the first byte of the request that is being
-// received was read; zero if there is none.
+// incompleteSince returns requestStartedAt: when the first byte of the request
+// that is being received was read, or zero if there is no such request.
 func (c *clientConn) incompleteSince() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requestStartedAt
 }
 
-// expireRequestDeadline ends the reading of a request that is still incomplete.
+// expireRequestDeadline ends the reading of a request that is still incomplete,
+// by setting its deadline to the present.
 func (c *clientConn) expireRequestDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,14 +50,15 @@
 	c.applyDeadline()
 }
 
-// wasExpiredForSlot reports whether tightenDeadline has ended a request.
+// wasExpiredForSlot reports whether expireRequestDeadline has ended the reading
+// of a request.
 func (c *clientConn) wasExpiredForSlot() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.expiredForSlot
 }
 
-// clearRequestTimes forgets the times of the request that was being received.
+// clearRequestTimes clears the times of the request that was being received.
 // The caller holds c.mu.
 func (c *clientConn) clearRequestTimes() {
 	c.queuedSince = time.Time{}
@@ -73,12 +75,12 @@
 	return c.applyDeadline()
 }
 
-// applyDeadline sets the deadline for reads that the connection's state asks
-// for. The caller holds c.mu.
+// applyDeadline sets the read deadline of Conn that the connection's state
+// requires. The caller holds c.mu.
 func (c *clientConn) applyDeadline() error {
 	switch {
 	case c.readingAhead:
-		return nil // set when Read has stopped reading ahead
+		return nil // stopReadAhead sets the deadline once readAheadLoop has ended
 	case c.draining:
 		return c.Conn.SetReadDeadline(pastDeadline)
 	case !c.requestDeadline.IsZero() && !c.interruptedByHTTP():
