--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -13,7 +13,7 @@
 	minAcceptBackoff = time.Millisecond      // pause after the first failed Accept; doubles with each further failure
 	maxAcceptBackoff = 20 * time.Millisecond // longest pause: the timeouts of queued requests keep running
 	emptyQueueWait   = time.Millisecond      // an Accept that blocks for at least this long found its queue empty
-	queueDrainTime   = time.Second           // time after a failure by which everything queued during it has been accepted
+	queueDrainTime   = time.Second           // after a failure; by then everything queued meanwhile has been accepted
 )
 
 // acceptor accepts connections from a listener and retries transient failures.
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// transientAcceptErrors are those errors of accept(2) that say nothing about the
+// transientAcceptErrors are the errors of accept(2) that do not concern the
 // listener itself.
 var transientAcceptErrors = []syscall.Errno{
 	syscall.EAGAIN, syscall.EINTR, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
@@ -17,9 +17,10 @@
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.EADDRNOTAVAIL,
 }
 
-// TestAcceptRetries: Accept fails nine times in a row. The node goes on, and
-// the client whose connection waits behind the failures is answered within its
-// timeout.
+// TestAcceptRetries guards against a node that ends, or keeps clients waiting
+// for too long, because of transient failures. Accept fails ten times in a row.
+// The client whose connection waits behind the failures is answered within its
+// timeout, and the node keeps running.
 func TestAcceptRetries(t *testing.T) {
 	backend, _ := startOKBackend(t)
 	for _, errno := range transientAcceptErrors {
@@ -37,7 +38,7 @@
 			if s := first.status(t); s != http.StatusOK {
 				t.Fatalf("status %d before the failures", s)
 			}
-			failures.Store(10) // an Accept is under way: it takes the next connection
+			failures.Store(10) // an Accept already in progress takes the next connection
 			n.dial(t)
 			c := n.dial(t)
 			sentAt := time.Now()
@@ -47,19 +48,19 @@
 			}
 			select {
 			case err := <-n.ended:
-				t.Fatalf("the node ends: %v", err)
+				t.Fatalf("the node has ended: %v", err)
 			default:
 			}
 		})
 	}
 }
 
-// TestListenerQueueTimeReducesDeadline: a request waits in the listener's queue while
-// Accept fails. The deadline sent to the backend is no more than what is left
-// of the client's timeout; with nothing left the request is rejected at once
-// and not sent.
+// TestListenerQueueTimeReducesDeadline guards against ignoring the time that a
+// request spends in the listener's queue, here while Accept fails. The deadline
+// sent to the backend must not exceed what is left of the client's timeout. If
+// nothing is left, the request must be rejected at once and not sent.
 func TestListenerQueueTimeReducesDeadline(t *testing.T) {
-	const slack = 150 * time.Millisecond // allowed by the operators' pages
+	const slack = 150 * time.Millisecond // allowed by the operators' rules
 	for _, clientTimeout := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
 		t.Run(clientTimeout.String(), func(t *testing.T) {
 			t.Parallel()
@@ -72,7 +73,7 @@
 				return nil
 			}}, func(*Config) {}, backend)
 			failing.Store(true)
-			n.dial(t) // accepted by the Accept that is under way
+			n.dial(t) // accepted by the Accept already in progress
 			delayVisibly()
 			c := n.dial(t)
 			sentAt := time.Now()
@@ -89,10 +90,10 @@
 				return
 			}
 			if d := deadlineOf(t, receive(t, requests, "the request")); d > left+slack {
-				t.Errorf("sent with a deadline of %v, and at most %v was left", d, left)
+				t.Errorf("sent with a deadline of %v, but at most %v was left", d, left)
 			}
 			if status != http.StatusOK {
-				t.Errorf("status %d", status)
+				t.Errorf("status %d, want 200", status)
 			}
 		})
 	}
--- a/internal/node/arrival_test.go
+++ b/internal/node/arrival_test.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// deadlineSlack is by how much the deadline sent to a backend may exceed what
-	// is left of the client's timeout, by the operators' pages.
+	// deadlineSlack is by how much the deadline sent to a backend may exceed
+	// what is left of the client's timeout, by the operators' rules.
 	deadlineSlack = 150 * time.Millisecond
 
-	// injectedDelay is for how long these tests hold up a request. A node that does
-	// not count it exceeds the slack.
+	// injectedDelay is for how long these tests delay a request. It is longer
+	// than deadlineSlack, so a node that ignores the delay fails.
 	injectedDelay = 400 * time.Millisecond
 )
 
-// TestUnreadTimeReducesDeadline: a process that is held up reads a request late. The
-// deadline sent to the backend is no more than what is left to the client.
+// TestUnreadTimeReducesDeadline guards against ignoring the time for which a
+// request has been waiting unread because the process was delayed. The deadline
+// sent to the backend must not exceed what is left of the client's timeout.
 func TestUnreadTimeReducesDeadline(t *testing.T) {
 	const clientTimeout = 3 * time.Second
 	backend, requests := startOKBackend(t)
@@ -34,18 +35,19 @@
 		c.sendPost(t, name, fmt.Sprint(clientTimeout.Seconds()))
 		left := clientTimeout - injectedDelay // at most
 		if d := deadlineOf(t, receive(t, requests, name)); d > left+deadlineSlack {
-			t.Errorf("the %s request: sent with a deadline of %v, and at most %v was left", name, d, left)
+			t.Errorf("the %s request: sent with a deadline of %v, but at most %v was left", name, d, left)
 		}
 		delay.Store(0)
 		if s := c.status(t); s != http.StatusOK {
-			t.Errorf("the %s request: status %d", name, s)
+			t.Errorf("the %s request: status %d, want 200", name, s)
 		}
 	}
 }
 
-// TestPipelinedRequestDeadline: a request waits behind another one of its
-// connection, and a third arrives later. The deadline sent with the second is no
-// more than what is left to its client.
+// TestPipelinedRequestDeadline guards against timing a request from the arrival
+// of a later one. The second request waits behind the first on their
+// connection, and a third arrives later. The deadline sent with the second must
+// not exceed what is left of its client's timeout.
 func TestPipelinedRequestDeadline(t *testing.T) {
 	const clientTimeout = 20 * time.Second
 	for name, withFirst := range map[string]bool{"sent with the first": true, "sent while the first is open": false} {
@@ -73,27 +75,28 @@
 			}
 			time.Sleep(injectedDelay)
 			io.WriteString(c, postText("third", "20"))
-			delayVisibly() // until the node has read it
+			delayVisibly() // gives the node time to read it
 			left := clientTimeout - time.Since(sentAt)
 			release <- true
 			if d := deadlineOf(t, receive(t, requests, "the second")); d > left+deadlineSlack {
-				t.Errorf("sent with a deadline of %v, and at most %v was left", d, left)
+				t.Errorf("sent with a deadline of %v, but at most %v was left", d, left)
 			}
 			release <- true
 			receive(t, requests, "the third")
 			release <- true
 			for i := range 3 {
 				if s := c.status(t); s != http.StatusOK {
-					t.Errorf("request %d: status %d", i, s)
+					t.Errorf("request %d: status %d, want 200", i, s)
 				}
 			}
 		})
 	}
 }
 
-// TestSlotWaitKeepsReceiveTime: requests wait in the listener's queue while connections
-// ahead of them wait for a slot, one after the other. They are dated by when they
-// arrived.
+// TestSlotWaitKeepsReceiveTime guards against timing requests from when their
+// connections are accepted. The requests wait in the listener's queue while
+// connections ahead of them wait for a slot, one after the other. Each must be
+// timed from its arrival.
 func TestSlotWaitKeepsReceiveTime(t *testing.T) {
 	const clients = 4
 	l := newConnectionLimiter(newListener(t), 1, discardLog)
@@ -115,7 +118,7 @@
 	for i := range clients {
 		received := receive(t, receivedAt, "a request")
 		if late := received.Sub(sentAt[i]); late > deadlineSlack {
-			t.Errorf("request %d is dated %v after it was sent", i, late)
+			t.Errorf("request %d: receive time is %v after it was sent", i, late)
 		}
 		time.Sleep(injectedDelay)
 		release <- true
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -15,13 +15,13 @@
 	"bankshift/internal/sockets"
 )
 
-// rejectionLimit is the time within which a client that stops in the middle of a
-// request gets an error or a close.
+// rejectionLimit is the time within which a client that stops in the middle of
+// a request must get an error or a close.
 const rejectionLimit = 3 * time.Second
 
-// TestDrainKeepsArrivingRequest: a request is not cut off that has begun to arrive, or
-// waits unread, or is read in the very moment in which its connection is
-// drained.
+// TestDrainKeepsArrivingRequest guards against a drain that cuts off a request:
+// one that waits unread, one that has begun to arrive, or one that is read at
+// the moment of the drain. A connection that stays idle is drained.
 func TestDrainKeepsArrivingRequest(t *testing.T) {
 	buffer := make([]byte, 100)
 	t.Run("unread", func(t *testing.T) {
@@ -32,7 +32,7 @@
 			t.Error("drained with a request unread")
 		}
 		if n, err := c.Read(buffer); n != 3 || err != nil {
-			t.Errorf("reads %d bytes, %v", n, err)
+			t.Errorf("reads %d bytes, %v; want 3 bytes", n, err)
 		}
 	})
 	t.Run("begun to arrive", func(t *testing.T) {
@@ -58,7 +58,7 @@
 		}
 		io.WriteString(client, " /")
 		if n, err := c.Read(buffer); n != 2 || err != nil {
-			t.Errorf("of what follows it reads %d bytes, %v", n, err)
+			t.Errorf("after the drain it reads %d bytes, %v; want 2 bytes", n, err)
 		}
 	})
 	t.Run("idle", func(t *testing.T) {
@@ -72,20 +72,20 @@
 			t.Error("not drained")
 		}
 		if err := receive(t, ended, "the reader"); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("the reader gets %v", err)
+			t.Errorf("the reader gets %v, want an expired deadline", err)
 		}
 		c.SetReadDeadline(time.Now().Add(testTimeout)) // as net/http does before each request
 		io.WriteString(client, "GET")
 		if n, err := c.Read(buffer); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("reads %d bytes, %v from a drained connection", n, err)
+			t.Errorf("reads %d bytes, %v from a drained connection; want an expired deadline", n, err)
 		}
 	})
 }
 
-// TestDrainKeepsPipelinedRequest: a connection becomes idle and is given up in the
-// same moment, by the shutdown or by an eviction, while its next request has
-// been read already after the one before. That request is served, and its
-// connection keeps its slot meanwhile.
+// TestDrainKeepsPipelinedRequest guards against losing a request that was read
+// together with the one before it. The connection is drained at the moment when
+// it becomes idle between the two, by the shutdown or by an eviction. The
+// second request is served, and the connection keeps its slot meanwhile.
 func TestDrainKeepsPipelinedRequest(t *testing.T) {
 	for name, closeIdle := range map[string]func(l *connectionLimiter){
 		"at the shutdown": func(l *connectionLimiter) { l.drain(time.Now()) },
@@ -133,9 +133,10 @@
 	}
 }
 
-// TestStalledRequest: a client sends a part of a request, some of it later, and
-// stays. It gets an error or a close within 3 s of the request's first byte,
-// and on a new connection within 3 s of connecting.
+// TestStalledRequest guards against clients that hold a connection by sending a
+// part of a request, and perhaps some more of it later. Such a client gets an
+// error or a close within 3 s of the request's first byte, and on a new
+// connection within 3 s of connecting.
 func TestStalledRequest(t *testing.T) {
 	backend, _ := startOKBackend(t)
 	n := startNode(t, backend)
@@ -168,9 +169,10 @@
 	}
 }
 
-// TestSlowRequestIsServed: a request begins just before its connection would be
-// closed for being silent, and arrives in two parts. The connection is not idle
-// any more, and the request is served.
+// TestSlowRequestIsServed guards against closing a connection on which a
+// request has begun. The request begins just before its connection would be
+// closed for being silent, and arrives in two parts. The connection is no
+// longer idle, and the request is served.
 func TestSlowRequestIsServed(t *testing.T) {
 	backend, _ := startOKBackend(t)
 	n := startNode(t, backend)
@@ -196,23 +198,23 @@
 					if err == nil && resp.StatusCode == http.StatusOK {
 						return
 					}
-					if stalled() < busy { // otherwise its parts were sent late
+					if stalled() < busy { // after a longer stall the test itself sent the parts late
 						t.Fatalf("%v, %v; want 200", resp, err)
 					}
 				}
-				t.Errorf("not served in %d tries, each kept from running for over %v", tries, busy)
+				t.Errorf("not served in %d tries, in each of which this process stalled for over %v", tries, busy)
 			})
 		}
 	}
 }
 
-// TestIncompleteRequestsTimeOut: a head or a body that never ends is given up
-// within 3 s.
+// TestIncompleteRequestsTimeOut guards against a head or a body that never ends
+// and keeps its connection open: the node gives it up within 3 s.
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	backend, got, _ := startStallingBackend(t)
 	n := startNode(t, backend)
 	if firstByteTimeout >= rejectionLimit || requestReadTimeout >= rejectionLimit || firstRequestTimeout >= rejectionLimit || idleTimeout >= rejectionLimit {
-		t.Errorf("a connection may be silent %v, a request take %v, the first one %v, a connection be idle %v", firstByteTimeout, requestReadTimeout, firstRequestTimeout, idleTimeout)
+		t.Errorf("firstByteTimeout %v, requestReadTimeout %v, firstRequestTimeout %v, idleTimeout %v: want each below rejectionLimit", firstByteTimeout, requestReadTimeout, firstRequestTimeout, idleTimeout)
 	}
 	for name, text := range map[string]string{
 		"incomplete head": "GET /api/x HTTP/1.1\r\nHost: app",
@@ -225,7 +227,7 @@
 			t.Errorf("%s: %v, %v, want an error or a close", name, resp, err)
 		}
 	}
-	// The response to a body that is too long must reach the client though it still sends.
+	// The response to a body that is too long must reach a client that is still sending it.
 	c := n.dial(t)
 	fmt.Fprintf(c, "POST /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: q\r\nX-Class: pagar\r\nX-Deadline: 60\r\nContent-Length: %d\r\n\r\n", 60<<20)
 	go func() {
@@ -236,7 +238,7 @@
 		}
 	}()
 	if resp, err := http.ReadResponse(c.read, nil); err != nil || resp.StatusCode != http.StatusRequestEntityTooLarge {
-		t.Errorf("60 MB: %v, %v, want 413", resp, err)
+		t.Errorf("body of 60 MB: %v, %v, want 413", resp, err)
 	}
 	if len(got) > 0 {
 		t.Error("a request reached a backend")
--- a/internal/node/connlimit_test.go
+++ b/internal/node/connlimit_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// TestBurstOfIdleConnections: a burst of idle clients takes all slots at once.
-// Requests on connections that arrive right after it are answered, each on its
-// first connection.
+// TestBurstOfIdleConnections guards against clients being locked out when a
+// burst of idle connections takes all slots. Requests on connections that
+// arrive right after the burst are answered, each on its first connection.
 func TestBurstOfIdleConnections(t *testing.T) {
 	backend, _ := startOKBackend(t)
 	n := startNodeOn(t, newListener(t), func(c *Config) { c.Sockets = 128 }, backend)
@@ -37,7 +37,7 @@
 				began := time.Now()
 				c := n.dial(t)
 				c.sendPost(t, fmt.Sprint("q", i), "20")
-				silent := time.Since(began) // at most: after evictionGrace it may be evicted itself
+				silent := time.Since(began) // upper bound; after evictionGrace this connection may itself be evicted
 				resp, err := http.ReadResponse(c.read, nil)
 				if err == nil && resp.StatusCode == http.StatusOK {
 					break
@@ -52,8 +52,10 @@
 	}
 }
 
-// TestAllSlotsCarryRequests: all slots are taken by connections that carry
-// requests. Further clients wait for one of them.
+// TestAllSlotsCarryRequests guards against closing a connection whose first
+// request may already have been received. All slots are taken by connections
+// that carry requests. Further clients wait for one of the slots and are then
+// answered.
 func TestAllSlotsCarryRequests(t *testing.T) {
 	const slots = 4
 	l := newConnectionLimiter(newListener(t), slots, discardLog)
@@ -75,7 +77,7 @@
 			receive(t, got, "the request")
 		}
 	}
-	delayVisibly() // the listener has no slot for the others
+	delayVisibly() // the limiter has no slot for the others
 	close(release)
 	for i, c := range clients {
 		if resp, err := http.ReadResponse(c.read, nil); err != nil || resp.StatusCode != http.StatusOK {
@@ -84,9 +86,10 @@
 	}
 }
 
-// TestSustainedIdleReconnects: idle clients reconnect for longer than a request's timeout,
-// so that the listener's queue is never empty. What arrives then has not waited
-// all along, and is served.
+// TestSustainedIdleReconnects guards against rejecting requests as too old
+// under a constant load of new connections. Idle clients reconnect for longer
+// than a request's timeout, so that the listener's queue is never empty. A
+// request that arrives then has not waited for all that time, and is served.
 func TestSustainedIdleReconnects(t *testing.T) {
 	const clientTimeout = time.Second
 	backend, _ := startOKBackend(t)
@@ -125,6 +128,6 @@
 	n.endServingPhase()
 	idleClients.Wait()
 	if served < 9 {
-		t.Errorf("%d of 10 requests are served", served)
+		t.Errorf("%d of 10 requests are served, want at least 9", served)
 	}
 }
--- a/internal/node/departure.go
+++ b/internal/node/departure.go
@@ -11,7 +11,7 @@
 // have been read ahead, because the end of the connection may follow them.
 const (
 	disconnectPollInterval = time.Millisecond      // delay for a client that has sent its next request early
-	maxDisconnectWait      = 20 * time.Millisecond // maxReadAhead bytes are read far sooner, and some deadlines are short
+	maxDisconnectWait      = 20 * time.Millisecond // maxReadAhead is read far sooner, and some deadlines are short
 )
 
 // clientDisconnected reports whether the client has disconnected by the time
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -15,12 +15,13 @@
 	"bankshift/internal/sockets"
 )
 
-// disconnectLimit is how long after a client has left an attempt may still begin, by
-// the operators' terms.
+// disconnectLimit is how long after a client has disconnected an attempt may
+// still begin, by the operators' rules.
 const disconnectLimit = 100 * time.Millisecond
 
-// TestClientLeavesAfterSendingMore: a client sends more than its open request
-// and leaves. Its departure stands behind all that in its socket.
+// TestClientLeavesAfterSendingMore guards against missing the disconnect of a
+// client that has sent more after its open request. The end of the connection
+// comes after all those bytes in the socket.
 func TestClientLeavesAfterSendingMore(t *testing.T) {
 	for name, rest := range map[string]string{"a byte": "G", "as much as a buffer": pipelinedGets(30), "more than a buffer": pipelinedGets(100)} {
 		for _, cancel := range []bool{true, false} {
@@ -45,8 +46,9 @@
 	}
 }
 
-// TestClientCancels: a client's cancel ends the attempt, and the node forgets
-// the request.
+// TestClientCancels guards against continuing an attempt whose client has
+// canceled the request. The cancel ends the attempt, and the node removes the
+// request.
 func TestClientCancels(t *testing.T) {
 	backend, got, gone := startStallingBackend(t)
 	n := startNode(t, backend)
@@ -65,9 +67,10 @@
 	waitUntil(t, "the request to be removed", func() bool { return n.openRequests(t) == 0 })
 }
 
-// TestClientLeavesWhileDialing: an attempt that has not been sent is canceled,
-// though the settings do not allow work to be canceled, and though the loop is
-// busy.
+// TestClientLeavesWhileDialing guards against sending a request whose client
+// has disconnected while the connection to the backend was being opened. Such
+// an attempt is canceled even if the settings do not allow canceling work, and
+// even if the event loop is busy.
 func TestClientLeavesWhileDialing(t *testing.T) {
 	for _, busy := range []bool{false, true} {
 		t.Run(fmt.Sprintf("busy %v", busy), func(t *testing.T) {
@@ -93,9 +96,10 @@
 	}
 }
 
-// TestClientLeavesWhileLoopIsBusy: a client leaves while its request, or the
-// event that would have it sent, waits for the loop, which learns of the
-// departure too late.
+// TestClientLeavesWhileLoopIsBusy guards against sending a request whose client
+// has disconnected before the event loop learns of it. The client disconnects
+// while its request, or the event that would have it sent, waits in the loop's
+// queue.
 func TestClientLeavesWhileLoopIsBusy(t *testing.T) {
 	t.Run("in the event queue", func(t *testing.T) { testClientLeavesInEventQueue(t, "") })
 	t.Run("in the event queue, with a byte more", func(t *testing.T) { testClientLeavesInEventQueue(t, "G") })
@@ -105,11 +109,13 @@
 	t.Run("held by a health check", testClientLeavesDuringHealthCheck)
 }
 
-// disableBalancerTimers are settings with which the balancer sets no timer during a test.
+// disableBalancerTimers changes the settings so that no timer of the balancer
+// expires during a test.
 func disableBalancerTimers(s *balancer.Settings) { s.MinEventInterval = time.Hour }
 
-// mustHaveNoOpenRequests checks that no request is open. It runs in place of the loop,
-// which release lets go on.
+// mustHaveNoOpenRequests checks that no request is open, then calls release. It
+// must be called while the loop is blocked, as it accesses the loop's data;
+// release lets the loop continue.
 func (n *testNode) mustHaveNoOpenRequests(t *testing.T, release func()) {
 	t.Helper()
 	if k := len(n.requests); k != 0 {
@@ -118,8 +124,8 @@
 	release()
 }
 
-// testClientLeavesInEventQueue: the client sends more after its request, and
-// leaves.
+// testClientLeavesInEventQueue checks a client that sends more after its
+// request and disconnects while the request is in the event queue.
 func testClientLeavesInEventQueue(t *testing.T, more string) {
 	address, got := startRecordingBackend(t)
 	n := startNodeWith(t, disableBalancerTimers, address)
@@ -150,8 +156,9 @@
 	n.mustNotSend(t, got, "q")
 }
 
-// testClientLeavesBeforeFurtherAttempt: the client leaves when the end of the first
-// attempt, which would have a further one sent, is in the queue.
+// testClientLeavesBeforeFurtherAttempt checks a client that disconnects while
+// the end of the first attempt, which would trigger a further one, is in the
+// event queue.
 func testClientLeavesBeforeFurtherAttempt(t *testing.T) {
 	got := make(chan string, 10)
 	respond := make(chan bool)
@@ -207,8 +214,9 @@
 	}
 }
 
-// TestClientLeftBeforeItWasRead: the end of a client's connection stands in its
-// socket behind the request, and net/http has not begun to watch for it.
+// TestClientLeftBeforeItWasRead guards against sending a request whose client
+// disconnected before net/http began to watch for that. The end of the
+// connection follows the request in the socket.
 func TestClientLeftBeforeItWasRead(t *testing.T) {
 	for name, leave := range map[string]func(c *net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.Close() },
@@ -234,8 +242,9 @@
 	}
 }
 
-// TestClientLeftBeforeAccept: a client has sent its request, and perhaps more
-// after it, and left before the node accepts its connection.
+// TestClientLeftBeforeAccept guards against sending a request whose client has
+// disconnected before the node accepts its connection. The client has sent the
+// request, and perhaps more after it.
 func TestClientLeftBeforeAccept(t *testing.T) {
 	for name, rest := range map[string]string{"with one request": "", "with a byte more": "G", "with much more": pipelinedGets(30), "with more than a buffer": pipelinedGets(100)} {
 		t.Run(name, func(t *testing.T) {
@@ -263,8 +272,8 @@
 	}
 }
 
-// TestClientLeavesWithinBody: a request that has not been received to its end
-// is not sent.
+// TestClientLeavesWithinBody guards against sending a request that has not been
+// received to its end.
 func TestClientLeavesWithinBody(t *testing.T) {
 	address, got := startRecordingBackend(t)
 	n := startNode(t, address)
@@ -276,9 +285,9 @@
 	n.mustNotSend(t, got, "q")
 }
 
-// TestDisconnectDetectedBeforeSend: a client leaves while a connection for its
-// request comes up, and no reader has seen it yet. The request must not be
-// sent.
+// TestDisconnectDetectedBeforeSend guards against sending a request whose
+// client disconnects while a connection to the backend is being opened, if no
+// reader has seen the disconnect yet.
 func TestDisconnectDetectedBeforeSend(t *testing.T) {
 	for name, leave := range map[string]func(c testClient){
 		"closed": func(c testClient) { c.Close() },
@@ -301,8 +310,8 @@
 	}
 }
 
-// TestDisconnectBehindUnreadBytes: a client leaves, and its departure stands behind
-// bytes that the node has not come to read. It is seen all the same.
+// TestDisconnectBehindUnreadBytes guards against missing a disconnect that
+// follows bytes that the node has not read yet.
 func TestDisconnectBehindUnreadBytes(t *testing.T) {
 	for name, linger := range map[string]int{"closed": -1, "reset": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -310,14 +319,14 @@
 			io.WriteString(client, pipelinedGets(30))
 			waitUntil(t, "the bytes to arrive", func() bool { return !sockets.Quiet(c.Conn) })
 			if c.clientDisconnectedNow() {
-				t.Fatal("the client has left, though its connection is open")
+				t.Fatal("reported as disconnected, though the connection is open")
 			}
 			client.(*net.TCPConn).SetLinger(linger)
 			client.Close()
 			leftAt := time.Now()
 			for !c.clientDisconnectedNow() {
 				if time.Since(leftAt) > disconnectLimit {
-					t.Fatalf("not seen %v after the departure", disconnectLimit)
+					t.Fatalf("not detected %v after the disconnect", disconnectLimit)
 				}
 				time.Sleep(time.Millisecond)
 			}
@@ -325,9 +334,9 @@
 	}
 }
 
-// TestHalfClosedClient: when a client closes its sending side, net/http cancels
-// the request's context as for a close. A handler that returns without writing
-// would answer it 200.
+// TestHalfClosedClient guards against answering 200 to a client that closes
+// only its sending side. net/http cancels the request's context as for a full
+// close, and would send a 200 if the handler returned without writing.
 func TestHalfClosedClient(t *testing.T) {
 	backend, got, gone := startStallingBackend(t)
 	n := startNode(t, backend)
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// TestSilentClientsAreEvicted: clients that connect by hundreds and send
-// nothing must not shut out one with a request, and their connections are
-// closed.
+// TestSilentClientsAreEvicted guards against a client with a request being
+// locked out by hundreds of clients that connect and send nothing. The silent
+// connections must be closed.
 func TestSilentClientsAreEvicted(t *testing.T) {
 	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
@@ -25,7 +25,7 @@
 	for range 2 * n.frontend.maxConnections {
 		silent = append(silent, n.dial(t))
 	}
-	// A client that is rejected in the crowd tries again and is served.
+	// A client that is rejected among the silent ones tries again until it is served.
 	until := time.Now().Add(testTimeout)
 	for i := 0; ; i++ {
 		c := n.dial(t)
@@ -44,8 +44,9 @@
 	}
 }
 
-// TestIdleClientsAreEvicted: clients that keep connections and send nothing
-// must not shut out others.
+// TestIdleClientsAreEvicted guards against clients being locked out by others
+// that keep their connections after a response and send nothing. The connection
+// that has been idle longest must be closed.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	ln := newListener(t)
 	l := newConnectionLimiter(ln, 2, discardLog)
@@ -76,13 +77,13 @@
 		conns = append(conns, c)
 	}
 	if _, err := io.ReadAll(conns[0]); err != nil {
-		t.Errorf("the oldest is not closed: %v", err)
+		t.Errorf("the connection idle for longest is not closed: %v", err)
 	}
 }
 
-// TestDrainKeepsNewConnections: the first request of a new connection is on
-// its way. Connections that have been silent for long, or have served a
-// request, are closed.
+// TestDrainKeepsNewConnections guards against a drain that closes a new
+// connection whose first request is on its way. Connections that have been
+// silent for stallThreshold, or have served a request, are closed.
 func TestDrainKeepsNewConnections(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
@@ -105,9 +106,9 @@
 	}
 }
 
-// TestStalledRequestsExpire: bad clients stop in the middle of their
-// requests on all connections for which a node has slots. A request that
-// arrives then is still answered within its timeout.
+// TestStalledRequestsExpire guards against clients being locked out by others
+// that stop in the middle of their requests on all connections for which a node
+// has slots. A request that arrives then is still answered within its timeout.
 func TestStalledRequestsExpire(t *testing.T) {
 	const clientTimeout = time.Second
 	backend, _ := startOKBackend(t)
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -12,9 +12,10 @@
 	"time"
 )
 
-// TestTimeLimitsEndWithTheirRequest: the limit on reading a request must not
-// end the wait for its response, as if its client had left, and the limit on
-// writing a response must not outlive it on its connection.
+// TestTimeLimitsEndWithTheirRequest guards against time limits that apply for
+// too long. The limit on reading a request must not end the wait for its
+// response, as if the client had disconnected. The limit on writing a response
+// must not affect later requests on the connection.
 func TestTimeLimitsEndWithTheirRequest(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -31,22 +32,23 @@
 	close(release)
 	for name, c := range map[string]testClient{"idempotent": idempotent, "notIdempotent": notIdempotent} {
 		if s := c.status(t); s != 200 {
-			t.Errorf("the %s request is answered %d after a long wait", name, s)
+			t.Errorf("the %s request is answered %d after a long wait, want 200", name, s)
 		}
 	}
 	for end := time.Now().Add(responseWriteTimeout + 200*time.Millisecond); time.Now().Before(end); time.Sleep(idleTimeout / 4) {
 		io.WriteString(idempotent, "GET /health/live HTTP/1.1\r\nHost: app.svc\r\n\r\n")
 		if s := idempotent.status(t); s != 200 {
-			t.Errorf("a health check is answered %d", s)
+			t.Errorf("a health check is answered %d, want 200", s)
 		}
 	}
 	idempotent.sendGet(t, "saldo", "r", "60")
 	if s := idempotent.status(t); s != 200 {
-		t.Errorf("a later request is answered %d", s)
+		t.Errorf("a later request is answered %d, want 200", s)
 	}
 }
 
-// TestReadyOnlyWithEndpoints: a node without endpoints is alive and not ready.
+// TestReadyOnlyWithEndpoints guards against a node that reports itself ready
+// without endpoints. Such a node is alive but not ready.
 func TestReadyOnlyWithEndpoints(t *testing.T) {
 	n := startNode(t)
 	for path, want := range map[string]int{"/health/ready": 503, "/health/live": 200} {
@@ -61,8 +63,9 @@
 	}
 }
 
-// TestForwardsRequestAndResponse: a request and its response pass the node with their end-to-end
-// headers.
+// TestForwardsRequestAndResponse guards against losing end-to-end headers of a
+// request or a response, and against forwarding headers that concern one
+// connection or the node only.
 func TestForwardsRequestAndResponse(t *testing.T) {
 	seen := make(chan *http.Request, 1)
 	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// TestListenRetries: socket and bind fail while the program starts.
+// TestListenRetries guards against a program that fails to start because socket
+// or bind fails a few times.
 func TestListenRetries(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 		syscall.EINTR, syscall.EADDRINUSE} {
@@ -31,8 +32,8 @@
 	}
 }
 
-// TestListenWaitsForAddress: the previous process still holds the address for a
-// while.
+// TestListenWaitsForAddress guards against a program that fails to start
+// because the previous process still holds the address for a while.
 func TestListenWaitsForAddress(t *testing.T) {
 	previous := newListener(t)
 	time.AfterFunc(300*time.Millisecond, func() { previous.Close() })
@@ -43,7 +44,8 @@
 	ln.Close()
 }
 
-// TestListenGivesUp: a permanent error is returned at once.
+// TestListenGivesUp guards against retrying after a permanent error, which must
+// be returned at once.
 func TestListenGivesUp(t *testing.T) {
 	began := time.Now()
 	if _, err := Listen(t.Context(), "127.0.0.1:nowhere", discardLog); err == nil || time.Since(began) > maxListenAttempts*listenRetryInterval/2 {
--- a/internal/node/parse_test.go
+++ b/internal/node/parse_test.go
@@ -14,7 +14,8 @@
 	"bankshift/balancer"
 )
 
-// TestBadRequests: a malformed request is rejected and reaches no backend.
+// TestBadRequests guards against forwarding malformed requests: each is
+// rejected and reaches no backend.
 func TestBadRequests(t *testing.T) {
 	backend, got, _ := startStallingBackend(t)
 	n := startNode(t, backend)
@@ -56,9 +57,9 @@
 	}
 }
 
-// TestRequestSmuggling: a body whose end two readers see in two places
-// may hide a request. None of it may reach a backend, and the connection is
-// closed.
+// TestRequestSmuggling guards against a request hidden in the body of another,
+// which is possible if two HTTP parsers disagree about where the body ends. No
+// part of it may reach a backend, and the connection is closed.
 func TestRequestSmuggling(t *testing.T) {
 	backend, got, _ := startStallingBackend(t)
 	n := startNode(t, backend)
@@ -96,8 +97,8 @@
 	}
 }
 
-// plainRequests and unusualRequests are two requests each, without their IDs. The
-// second pair has the unusual forms that a head may have.
+// plainRequests and unusualRequests are two requests each, as formats that lack
+// the IDs. The heads of unusualRequests have unusual but valid forms.
 const (
 	plainRequests = "POST /api/x?a=1 HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: pedido\r\nX-Deadline: 60\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\nrent" +
 		"GET /api/y HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: saldo\r\nX-Deadline: 60.000\r\n\r\n"
@@ -105,12 +106,13 @@
 		"\r\nGET /api/y HTTP/1.1\r\nhOST: app.svc\r\nConnection: keep-alive\r\nX-REQUEST-ID:   %s\r\nX-Class: saldo\r\nX-Deadline: 60\r\nContent-Length: 0\r\n\r\n"
 )
 
-// TestRequestsReadInPieces: two requests, the second right after the first, are
-// served one after the other, each once and with its own response, wherever the
-// reads are cut and in each form that a head may have.
+// TestRequestsReadInPieces guards against requests that are lost, repeated or
+// mixed up depending on how the reads are split. Two requests, the second right
+// after the first, are served one after the other, each once and with its own
+// response, wherever the reads are split and in each form that a head may have.
 func TestRequestsReadInPieces(t *testing.T) {
 	backend, executions := startCountingBackend(t)
-	// Where attempts must not be canceled, none is given up when this machine is slow for a moment.
+	// If attempts must not be canceled, none is given up when this machine is briefly slow.
 	n := startNodeResting(t, 0, func(s *balancer.Settings) { s.CancelAllowed = false }, backend)
 	for name, text := range map[string]string{
 		"plain":        plainRequests,
@@ -154,8 +156,9 @@
 	}
 }
 
-// startCountingBackend starts a backend that answers each request with its ID and
-// its body. executions returns how often a request has come.
+// startCountingBackend starts a backend that answers each request with its ID
+// and its body. executions returns how many requests with an ID the backend has
+// received.
 func startCountingBackend(t *testing.T) (address string, executions func(id string) int) {
 	t.Helper()
 	var mu sync.Mutex
--- a/internal/node/readahead_test.go
+++ b/internal/node/readahead_test.go
@@ -12,8 +12,9 @@
 	"time"
 )
 
-// TestReadAheadIsLimited: what is sent after an open request is read only up to
-// a limit.
+// TestReadAheadIsLimited guards against storing without limit what a client
+// sends after an open request. Beyond the limit the request is canceled and the
+// connection closed.
 func TestReadAheadIsLimited(t *testing.T) {
 	backend, got, gone := startStallingBackend(t)
 	n := startNode(t, backend)
@@ -33,8 +34,8 @@
 	}
 }
 
-// TestPipelinedRequestsAreServed: a client that sends its next requests after an open
-// one is served all of them, one after the other.
+// TestPipelinedRequestsAreServed guards against losing requests that a client
+// sends while an earlier one is open. All are served, one after the other.
 func TestPipelinedRequestsAreServed(t *testing.T) {
 	release, got := make(chan struct{}), make(chan bool, 30)
 	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -52,15 +53,16 @@
 	close(release)
 	for i := range 21 {
 		if s := c.status(t); s != 200 {
-			t.Errorf("request %d is answered %d", i, s)
+			t.Errorf("request %d is answered %d, want 200", i, s)
 		}
 	}
 }
 
-// TestManyPipelinedRequests: a client sends hundreds of requests at once, and
-// waits for all their responses.
+// TestManyPipelinedRequests guards against aborting a client that sends
+// hundreds of requests at once and waits for all responses, and against bytes
+// that stay counted as read ahead after their connection has ended.
 func TestManyPipelinedRequests(t *testing.T) {
-	const count = 500 // some 45 KiB
+	const count = 500 // about 45 KiB
 	backend, _ := startOKBackend(t)
 	n := startNode(t, backend)
 	c := n.dial(t)
@@ -76,14 +78,14 @@
 		}
 		io.Copy(io.Discard, resp.Body)
 		if resp.StatusCode != http.StatusOK {
-			t.Fatalf("request %d is answered %d", i, resp.StatusCode)
+			t.Fatalf("request %d is answered %d, want 200", i, resp.StatusCode)
 		}
 	}
 	c.Close()
 	readAheadBytes := &n.frontend.connections.readAheadBytes
 	waitUntil(t, "the end of what is read ahead", func() bool { return readAheadBytes.Load() == 0 })
 	early := n.dial(t)
-	io.WriteString(early, text.String()) // the IDs are not in use any more
+	io.WriteString(early, text.String()) // the IDs are no longer in use
 	early.Close()
 	waitUntil(t, "the connection to end", func() bool { return n.frontend.connections.openConnections() == 0 })
 	if left := readAheadBytes.Load(); left != 0 {
@@ -91,9 +93,9 @@
 	}
 }
 
-// TestLongNextRequest: a client that has its response may send a long request
-// before net/http has ended its watch on the connection. That is allowed, and
-// the client has not left.
+// TestLongNextRequest guards against aborting a client that has received its
+// response and sends a long request before net/http has stopped monitoring the
+// connection. A client that sends as much while its request is open is aborted.
 func TestLongNextRequest(t *testing.T) {
 	for _, open := range []bool{false, true} {
 		c, client := connectionPair(t)
@@ -115,16 +117,17 @@
 			return !c.readingAhead && c.readAhead.size > maxReadAhead
 		})
 		if _, err := io.ReadFull(c, make([]byte, len(long)-1)); err != nil {
-			t.Errorf("of what follows: %v", err)
+			t.Errorf("reading the rest of the long request: %v", err)
 		}
 		if len(gone) > 0 {
-			t.Error("the requests are canceled")
+			t.Error("the requests are canceled, though none is open")
 		}
 	}
 }
 
-// TestReadAheadTimestamps: bytes that arrive one by one share a date only for a short
-// time, and each read returns bytes of one date.
+// TestReadAheadTimestamps guards against wrong receive times. Bytes that arrive
+// one by one share a timestamp only for chunkMergeTime, and each read returns
+// bytes of one timestamp.
 func TestReadAheadTimestamps(t *testing.T) {
 	var buffer readAheadBuffer
 	var start time.Time
