--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -73,8 +73,8 @@
 // isTransientAcceptError reports whether Accept may be called again after err.
 // On Linux, Accept also returns network errors of the connection that it was
 // about to return (see accept(2)), and shortages of memory or descriptors pass.
-// Only the errors of a listener that is closed or invalid are permanent, and so
-// is an error without an errno.
+// The only permanent errors are those of a listener that is closed or invalid,
+// and errors that carry no errno.
 func isTransientAcceptError(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
--- a/internal/node/eviction.go
+++ b/internal/node/eviction.go
@@ -45,10 +45,10 @@
 }
 
 // evict closes the connection that its client is least likely to need and
-// releases its slot. It reports whether there was one. If a request has just
-// arrived on a candidate, the candidate is no longer idle, although net/http
-// has not reported that yet; evict then tries the next one. The caller holds
-// l.mu.
+// releases its slot. It reports whether it has evicted one. If a request has
+// just arrived on a candidate, the candidate is no longer idle, although
+// net/http has not reported that yet; evict then tries the next one. The caller
+// holds l.mu.
 func (l *connectionLimiter) evict(now time.Time) bool {
 	for {
 		candidate := l.evictionCandidate(now)
