--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -18,7 +18,7 @@
 	firstByteTimeout    = 2 * time.Second         // for a new connection to start a request
 	requestReadTimeout  = 2500 * time.Millisecond // for a whole request, from its first byte
 	firstRequestTimeout = 2800 * time.Millisecond // for the whole first request, from the accept
-	idleTimeout         = 2800 * time.Millisecond // between requests; also limits a next request partly in net/http's buffer
+	idleTimeout         = 2800 * time.Millisecond // between requests, even if net/http has buffered part of the next
 )
 
 // frontend is the HTTP server for clients: it parses their requests, passes them
