--- a/internal/node/arrival_test.go
+++ b/internal/node/arrival_test.go
@@ -12,41 +12,43 @@
 )
 
 const (
-	// deadlineSlack is by how much the deadline sent to a backend may exceed what
-	// is left of the client's timeout, by the operators' pages.
+	// deadlineSlack is by how much the deadline sent to a backend may exceed
+	// what is left of the client's timeout, by the operators' rules.
 	deadlineSlack = 150 * time.Millisecond
 
-	// heldUpTime is for how long these tests hold up a request. A node that does
-	// not count it exceeds the slack.
-	heldUpTime = 400 * time.Millisecond
+	// injectedDelay is for how long these tests delay a request. It is longer
+	// than deadlineSlack, so a node that ignores the delay fails.
+	injectedDelay = 400 * time.Millisecond
 )
 
-// TestTimeUnreadCounts: a process that is held up reads a request late. The
-// deadline sent to the backend is no more than what is left to the client.
-func TestTimeUnreadCounts(t *testing.T) {
+// TestUnreadTimeReducesDeadline guards against ignoring the time for which a
+// request has been waiting unread because the process was delayed. The deadline
+// sent to the backend must not exceed what is left of the client's timeout.
+func TestUnreadTimeReducesDeadline(t *testing.T) {
 	const clientTimeout = 3 * time.Second
 	backend, requests := startOKBackend(t)
 	var delay atomic.Int64
 	n := startNodeOn(t, lateReadListener{newListener(t), &delay}, func(*Config) {}, backend)
 	c := n.dial(t)
 	for _, name := range []string{"first", "second"} {
-		delay.Store(int64(heldUpTime))
+		delay.Store(int64(injectedDelay))
 		c.sendPost(t, name, fmt.Sprint(clientTimeout.Seconds()))
-		left := clientTimeout - heldUpTime // at most
+		left := clientTimeout - injectedDelay // at most
 		if d := deadlineOf(t, receive(t, requests, name)); d > left+deadlineSlack {
-			t.Errorf("the %s request: sent with a deadline of %v, and at most %v was left", name, d, left)
+			t.Errorf("the %s request: sent with a deadline of %v, but at most %v was left", name, d, left)
 		}
 		delay.Store(0)
 		if s := c.status(t); s != http.StatusOK {
-			t.Errorf("the %s request: status %d", name, s)
+			t.Errorf("the %s request: status %d, want 200", name, s)
 		}
 	}
 }
 
-// TestPipelinedRequestKeepsItsTime: a request waits behind another one of its
-// connection, and a third arrives later. The deadline sent with the second is no
-// more than what is left to its client.
-func TestPipelinedRequestKeepsItsTime(t *testing.T) {
+// TestPipelinedRequestDeadline guards against timing a request from the arrival
+// of a later one. The second request waits behind the first on their
+// connection, and a third arrives later. The deadline sent with the second must
+// not exceed what is left of its client's timeout.
+func TestPipelinedRequestDeadline(t *testing.T) {
 	const clientTimeout = 20 * time.Second
 	for name, withFirst := range map[string]bool{"sent with the first": true, "sent while the first is open": false} {
 		t.Run(name, func(t *testing.T) {
@@ -71,30 +73,31 @@
 				sentAt = time.Now()
 				io.WriteString(c, second)
 			}
-			time.Sleep(heldUpTime)
+			time.Sleep(injectedDelay)
 			io.WriteString(c, postText("third", "20"))
-			delayVisibly() // until the node has read it
+			delayVisibly() // gives the node time to read it
 			left := clientTimeout - time.Since(sentAt)
 			release <- true
 			if d := deadlineOf(t, receive(t, requests, "the second")); d > left+deadlineSlack {
-				t.Errorf("sent with a deadline of %v, and at most %v was left", d, left)
+				t.Errorf("sent with a deadline of %v, but at most %v was left", d, left)
 			}
 			release <- true
 			receive(t, requests, "the third")
 			release <- true
 			for i := range 3 {
 				if s := c.status(t); s != http.StatusOK {
-					t.Errorf("request %d: status %d", i, s)
+					t.Errorf("request %d: status %d, want 200", i, s)
 				}
 			}
 		})
 	}
 }
 
-// TestEachSlotWaitCounts: requests wait in the listener's queue while connections
-// ahead of them wait for a slot, one after the other. They are dated by when they
-// arrived.
-func TestEachSlotWaitCounts(t *testing.T) {
+// TestSlotWaitKeepsReceiveTime guards against timing requests from when their
+// connections are accepted. The requests wait in the listener's queue while
+// connections ahead of them wait for a slot, one after the other. Each must be
+// timed from its arrival.
+func TestSlotWaitKeepsReceiveTime(t *testing.T) {
 	const clients = 4
 	l := newConnectionLimiter(newListener(t), 1, discardLog)
 	receivedAt, release := make(chan time.Time, clients), make(chan bool, clients)
@@ -113,11 +116,11 @@
 		sentAt = append(sentAt, time.Now())
 	}
 	for i := range clients {
-		dated := receive(t, receivedAt, "a request")
-		if late := dated.Sub(sentAt[i]); late > deadlineSlack {
-			t.Errorf("request %d is dated %v after it was sent", i, late)
+		received := receive(t, receivedAt, "a request")
+		if late := received.Sub(sentAt[i]); late > deadlineSlack {
+			t.Errorf("request %d: receive time is %v after it was sent", i, late)
 		}
-		time.Sleep(heldUpTime)
+		time.Sleep(injectedDelay)
 		release <- true
 	}
 }
--- a/internal/node/connlimit_test.go
+++ b/internal/node/connlimit_test.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// TestCrowdOfIdleClients: a crowd of idle clients takes all slots at once.
-// Requests on connections that arrive right after it are answered, each on its
-// first connection.
-func TestCrowdOfIdleClients(t *testing.T) {
+// TestBurstOfIdleConnections guards against clients being locked out when a
+// burst of idle connections takes all slots. Requests on connections that
+// arrive right after the burst are answered, each on its first connection.
+func TestBurstOfIdleConnections(t *testing.T) {
 	backend, _ := startOKBackend(t)
 	n := startNodeOn(t, newListener(t), func(c *Config) { c.Sockets = 128 }, backend)
 	for range 3 {
-		var crowd sync.WaitGroup
+		var idleClients sync.WaitGroup
 		for range 5 * n.frontend.maxConnections {
-			crowd.Add(1)
+			idleClients.Add(1)
 			go func() {
-				defer crowd.Done()
+				defer idleClients.Done()
 				c, err := net.Dial("tcp", n.address)
 				if err != nil {
-					t.Errorf("a client of the crowd: %v", err)
+					t.Errorf("dialing as an idle client: %v", err)
 					return
 				}
 				c.SetReadDeadline(time.Now().Add(testTimeout))
@@ -37,7 +37,7 @@
 				began := time.Now()
 				c := n.dial(t)
 				c.sendPost(t, fmt.Sprint("q", i), "20")
-				silent := time.Since(began) // at most: after evictionGrace it may be evicted itself
+				silent := time.Since(began) // upper bound; after evictionGrace this connection may itself be evicted
 				resp, err := http.ReadResponse(c.read, nil)
 				if err == nil && resp.StatusCode == http.StatusOK {
 					break
@@ -48,12 +48,14 @@
 				}
 			}
 		}
-		crowd.Wait()
+		idleClients.Wait()
 	}
 }
 
-// TestAllSlotsCarryRequests: all slots are taken by connections that carry
-// requests. Further clients wait for one of them.
+// TestAllSlotsCarryRequests guards against closing a connection whose first
+// request may already have been received. All slots are taken by connections
+// that carry requests. Further clients wait for one of the slots and are then
+// answered.
 func TestAllSlotsCarryRequests(t *testing.T) {
 	const slots = 4
 	l := newConnectionLimiter(newListener(t), slots, discardLog)
@@ -75,7 +77,7 @@
 			receive(t, got, "the request")
 		}
 	}
-	delayVisibly() // the listener has no slot for the others
+	delayVisibly() // the limiter has no slot for the others
 	close(release)
 	for i, c := range clients {
 		if resp, err := http.ReadResponse(c.read, nil); err != nil || resp.StatusCode != http.StatusOK {
@@ -84,19 +86,20 @@
 	}
 }
 
-// TestLastingCrowd: idle clients reconnect for longer than a request's timeout,
-// so that the listener's queue is never empty. What arrives then has not waited
-// all along, and is served.
-func TestLastingCrowd(t *testing.T) {
+// TestSustainedIdleReconnects guards against rejecting requests as too old
+// under a constant load of new connections. Idle clients reconnect for longer
+// than a request's timeout, so that the listener's queue is never empty. A
+// request that arrives then has not waited for all that time, and is served.
+func TestSustainedIdleReconnects(t *testing.T) {
 	const clientTimeout = time.Second
 	backend, _ := startOKBackend(t)
 	n := startNodeOn(t, newListener(t), func(c *Config) { c.Sockets = 64 }, backend)
 	done := make(chan struct{})
-	var crowd sync.WaitGroup
+	var idleClients sync.WaitGroup
 	for range 16 * n.frontend.maxConnections {
-		crowd.Add(1)
+		idleClients.Add(1)
 		go func() {
-			defer crowd.Done()
+			defer idleClients.Done()
 			for {
 				select {
 				case <-done:
@@ -123,8 +126,8 @@
 	close(done)
 	n.stop()
 	n.endServingPhase()
-	crowd.Wait()
+	idleClients.Wait()
 	if served < 9 {
-		t.Errorf("%d of 10 requests are served", served)
+		t.Errorf("%d of 10 requests are served, want at least 9", served)
 	}
 }
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// TestSilentClientsAreEvicted: clients that connect by hundreds and send
-// nothing must not shut out one with a request, and their connections are
-// closed.
+// TestSilentClientsAreEvicted guards against a client with a request being
+// locked out by hundreds of clients that connect and send nothing. The silent
+// connections must be closed.
 func TestSilentClientsAreEvicted(t *testing.T) {
 	n := startNode(t, startBackend(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
@@ -25,7 +25,7 @@
 	for range 2 * n.frontend.maxConnections {
 		silent = append(silent, n.dial(t))
 	}
-	// A client that is rejected in the crowd tries again and is served.
+	// A client that is rejected among the silent ones tries again until it is served.
 	until := time.Now().Add(testTimeout)
 	for i := 0; ; i++ {
 		c := n.dial(t)
@@ -44,8 +44,9 @@
 	}
 }
 
-// TestIdleClientsAreEvicted: clients that keep connections and send nothing
-// must not shut out others.
+// TestIdleClientsAreEvicted guards against clients being locked out by others
+// that keep their connections after a response and send nothing. The connection
+// that has been idle longest must be closed.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	ln := newListener(t)
 	l := newConnectionLimiter(ln, 2, discardLog)
@@ -76,22 +77,22 @@
 		conns = append(conns, c)
 	}
 	if _, err := io.ReadAll(conns[0]); err != nil {
-		t.Errorf("the oldest is not closed: %v", err)
+		t.Errorf("the connection idle for longest is not closed: %v", err)
 	}
 }
 
-// TestDrainSparesNewConnections: the first request of a new connection is on
-// its way. Connections that have been silent for long, or have served a
-// request, are closed.
-func TestDrainSparesNewConnections(t *testing.T) {
+// TestDrainKeepsNewConnections guards against a drain that closes a new
+// connection whose first request is on its way. Connections that have been
+// silent for stallThreshold, or have served a request, are closed.
+func TestDrainKeepsNewConnections(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name    string
 		state   idleState
 		drained bool
 	}{
-		{"new", idleState{since: now.Add(-silenceAllowance / 2)}, false},
-		{"silent", idleState{since: now.Add(-silenceAllowance)}, true},
+		{"new", idleState{since: now.Add(-stallThreshold / 2)}, false},
+		{"silent", idleState{since: now.Add(-stallThreshold)}, true},
 		{"between requests", idleState{since: now, servedBefore: true}, true},
 	} {
 		conn, _ := connectionPair(t)
@@ -105,10 +106,10 @@
 	}
 }
 
-// TestStalledRequestsAreTightened: bad clients stop in the middle of their
-// requests on all connections for which a node has slots. A request that
-// arrives then is still answered within its timeout.
-func TestStalledRequestsAreTightened(t *testing.T) {
+// TestStalledRequestsExpire guards against clients being locked out by others
+// that stop in the middle of their requests on all connections for which a node
+// has slots. A request that arrives then is still answered within its timeout.
+func TestStalledRequestsExpire(t *testing.T) {
 	const clientTimeout = time.Second
 	backend, _ := startOKBackend(t)
 	for name, part := range map[string]string{
