--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	shedPeriod     = 500 * time.Millisecond // many arrivals, yet short beside an overload
-	priorityCutoff = 0.1                    // part of the top weight up to which no request has priority
+	shedPeriod     = 500 * time.Millisecond // long enough for many arrivals, short compared with an overload
+	priorityCutoff = 0.1                    // fraction of the top weight up to which no request has priority
 )
 
-// shedding is the admission control of a placement. When no endpoint is normal, new requests are dropped with the
-// probabilities q1 and q2 of the paper, which are set anew each shedPeriod.
+// shedding is the admission control state of a placement. While no endpoint is normal, new requests are dropped with
+// the paper's probabilities q1 and q2, which are recomputed each shedPeriod.
 type shedding struct {
 	priorityArrivals float64 // N1: arrivals with priority in this period
-	otherArrivals    float64 // N2: the others
-	excessSum        float64 // of the endpoints' excess over the ticks of this period
-	excessSamples    float64 // how many were added
+	otherArrivals    float64 // N2: arrivals without priority in this period
+	excessSum        float64 // sum of the endpoints' excess, sampled at each tick of this period
+	excessSamples    float64 // number of samples in excessSum
 	shedPriority     float64 // q1: drop probability of requests with priority
-	shedOther        float64 // q2: that of the others
+	shedOther        float64 // q2: drop probability of requests without priority
 	noneNormalAt     Time    // when a request last found no normal endpoint
 }
 
@@ -31,8 +31,9 @@
 	}
 }
 
-// startPeriod sets the drop probabilities by the arrivals of the last period: enough to drop all requests without
-// priority and, by how far the endpoints were on the way from H to R, a part of those with it.
+// startPeriod computes the drop probabilities from the arrivals of the period that ends, and starts a new period. They
+// are high enough to drop all requests without priority and a fraction of those with priority. That fraction is the
+// endpoints' mean excess, which is 0 at H and 1 at R.
 func (s *shedding) startPeriod() {
 	toShed := s.otherArrivals + s.priorityArrivals*s.excessSum/math.Max(1, s.excessSamples)
 	q := toShed / math.Max(1, s.priorityArrivals+s.otherArrivals)
@@ -43,8 +44,8 @@
 	s.excessSamples = 0
 }
 
-// shedSplit is the paper's split of an overall drop probability q into that of requests with priority (q1, n1 of them
-// arrived) and that of the others (q2, n2 arrived): the others are dropped first.
+// shedSplit splits an overall drop probability q as the paper does: into q1 for the n1 arrivals with priority and q2
+// for the n2 arrivals without. Requests without priority are dropped first.
 func shedSplit(q, n1, n2 float64) (q1, q2 float64) {
 	if n2 == 0 {
 		return q, 0
@@ -56,12 +57,14 @@
 	return q1, q2
 }
 
-// priorityShare is the part of a class's requests that have priority: by the class's weight over the top weight.
+// priorityShare is the fraction of a class's requests that have priority. It rises linearly from 0, at priorityCutoff
+// times the top weight, to 1 at the top weight.
 func priorityShare(weight, topWeight float64) float64 {
 	return math.Max(0, (weight/math.Max(topWeight, 1e-9)-priorityCutoff)/(1-priorityCutoff))
 }
 
-// hasPriority decides whether a new request has priority. A request over its tenant's quota has none.
+// hasPriority decides whether a new request has priority, by a random draw with its class's priorityShare. A request
+// that is over its tenant's quota, or past its objective, has none.
 func (b *Balancer) hasPriority(request *request, tenant string) bool {
 	class := request.class
 	drawn := b.rng.float64() < priorityShare(class.PriorityWeight, class.placement.topWeight)
@@ -70,7 +73,7 @@
 	return drawn && withinQuota && !b.pastObjective(request, 0)
 }
 
-// admits decides whether a request may be sent when the best endpoint for it is in this mode.
+// admits decides whether a request may be sent when the endpoint picked for it is in the given mode.
 func (b *Balancer) admits(request *request, mode Mode) bool {
 	if len(request.attempts) > 0 {
 		return b.admitsRetry(request, mode)
@@ -78,7 +81,8 @@
 	return !b.expectedTooLate(request) && !b.sheds(request, mode)
 }
 
-// admitsRetry is admits for a further attempt.
+// admitsRetry is admits for a request that has had an attempt. If that attempt may have run, the retry budget must
+// allow another; if no endpoint is normal, the request needs priority.
 func (b *Balancer) admitsRetry(request *request, mode Mode) bool {
 	if b.pastObjective(request, 0) {
 		return false
@@ -89,7 +93,8 @@
 	return mode == Normal || request.priority
 }
 
-// expectedTooLate reports whether, with endpoints crowded lately, a response in the usual time would have no value.
+// expectedTooLate reports whether a response after the usual latency would be past the objective and have no value. It
+// is always false if no request has found all endpoints overloaded or blocked within the last shedPeriod.
 func (b *Balancer) expectedTooLate(request *request) bool {
 	class := request.class
 	crowdedLately := b.now < class.placement.noneNormalAt+shedPeriod
@@ -108,7 +113,8 @@
 	return b.rng.float64() < probability
 }
 
-// pastObjective reports whether a response so many seconds from now would be past the objective and have no value.
+// pastObjective reports whether a response in the given number of seconds would be past the objective and have no
+// value. It is false for a request on which no time has been spent yet.
 func (b *Balancer) pastObjective(request *request, seconds float64) bool {
 	class := request.class
 	if class.LateWeight != 0 || class.LatencyObjective <= 0 {
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -8,34 +8,34 @@
 
 const (
 	meanGain                = 0.02  // weight of a sample in averages over all endpoints
-	machineTypeGain         = 0.006 // in a machine type's long average, whose least value is kept: chance must be small
-	endpointLatencyGain     = 0.1   // in an endpoint's latency
-	throughputTau           = 3.0   // s; what a node has seen of an endpoint holds for about so long
-	memoryTau               = 600.0 // s; to forget peak throughput and uncrowded latency: longer than overloads last
-	latencyNoise            = 0.15  // by which chance alone takes an average below its true value
-	minResponses            = 2.0   // per endpoint of the subsets, on average, after which a node has learned
-	machineTypeMinResponses = 50.0  // of a machine type, after which its uncrowded latency counts
-	machineTypePrior        = 10.0  // responses of a machine type that count as much as the fleet's mean
-	minLatency              = 1e-6  // s; a clock may show none
+	machineTypeGain         = 0.006 // in a machine type's long average, whose minimum is kept: chance must be small
+	endpointLatencyGain     = 0.1   // in an endpoint's latency and in the endpoints' concurrency
+	throughputTau           = 3.0   // s; time constant with which observations of an endpoint lose their weight
+	memoryTau               = 600.0 // s; time constant of peak throughput and unloaded latency; longer than overloads last
+	latencyNoise            = 0.15  // fraction by which an average may be below its true value by chance alone
+	minResponses            = 2.0   // responses per endpoint of the subsets, on average, after which a node has learned
+	machineTypeMinResponses = 50.0  // responses of a machine type after which its unloaded latency is used
+	machineTypePrior        = 10.0  // weight of the fleet's mean in a machine type's latency, in responses
+	minLatency              = 1e-6  // s; minimum that is recorded, as a clock may measure 0
 )
 
 // latencyState is what a node knows of an endpoint's latency and throughput.
 type latencyState struct {
-	excessLatency decayingValue // s, of a mean request, over what its machine type takes
+	excessLatency decayingValue // s, by which a mean request takes longer than on the endpoint's machine type
 	throughput    decayingValue // served requests of this node per second
-	listedAt      Time          // when it was first listed: what the throughput can be based on
+	listedAt      Time          // when it was first listed: throughput has been observed since then
 }
 
-// machineType holds the latencies of a type of machine: a wide and slow one responds later than a narrow and fast one
-// that does as much.
+// machineType holds the latency estimates of a type of machine. A machine with many slow cores responds later than one
+// with few fast cores, even if both have the same throughput.
 type machineType struct {
 	latency          ewma    // s, of a mean request
 	recentLatency    ewma    // s, the same over fewer responses
-	uncrowdedLatency float64 // s, the least latency of late; 0: not known yet
+	uncrowdedLatency float64 // s, the unloaded latency: the recent minimum of latency; 0: not known yet
 }
 
-// machineTypeByName returns the state of a machine type. Those that the settings do not name are one type, as endpoint
-// updates may bring ever new ones.
+// machineTypeByName returns the estimates of a machine type. All machine types that the settings do not name share one
+// entry, as endpoint updates may bring any number of new names.
 func (b *Balancer) machineTypeByName(name string) *machineType {
 	if !slices.Contains(b.settings.MachineTypes, name) {
 		name = ""
@@ -46,26 +46,27 @@
 	return b.machineTypes[name]
 }
 
-// throughputOf is the rate of served requests per second that this node sees of an endpoint. One that was listed only
-// lately is rated by the time since.
+// throughputOf estimates the requests per second that an endpoint serves for this node. If the endpoint was listed only
+// recently, the estimate is corrected for the short time of observation.
 func (b *Balancer) throughputOf(endpoint *endpoint) float64 {
 	observed := 1 - decay(b.now-endpoint.listedAt+tickInterval, throughputTau)
 	return endpoint.throughput.current(b.now, throughputTau) / observed
 }
 
-// latencyOf is the latency of a mean request at an endpoint, in seconds. Without responses it drifts back to that of
-// the machine type, so the endpoint is tried again.
+// latencyOf estimates the latency of a mean request at an endpoint, in seconds. Without responses the estimate decays
+// to that of the machine type, so that the endpoint is tried again.
 func (b *Balancer) latencyOf(endpoint *endpoint) float64 {
 	return b.machineTypeLatency(endpoint.machineType) + endpoint.excessLatency.current(b.now, throughputTau)
 }
 
-// expectedLatency is the latency of a request of the class at an endpoint, in seconds, and at least as on average.
+// expectedLatency estimates the latency of a request of the class at an endpoint, in seconds. For faster endpoints
+// than the mean it returns the latency at the mean endpoint.
 func (b *Balancer) expectedLatency(endpoint *endpoint, class *class) float64 {
 	return math.Max(b.latency.mean, b.latencyOf(endpoint)) * class.relativeWork
 }
 
-// machineTypeLatency is the latency of a mean request on a machine type, in seconds. One of many nodes knows more of it
-// than of any endpoint. After few responses it is near the fleet's mean.
+// machineTypeLatency estimates the latency of a mean request on a machine type, in seconds. One of many nodes sees more
+// responses from a machine type than from any endpoint. After few responses the estimate is near the fleet's mean.
 func (b *Balancer) machineTypeLatency(machine *machineType) float64 {
 	responses := machine.recentLatency.samples
 	return b.latency.mean + (machine.recentLatency.mean-b.latency.mean)*responses/(responses+machineTypePrior)
@@ -79,7 +80,8 @@
 	workAhead := request.relativeWork*class.relativeWork + attempt.inFlightBefore/b.concurrency
 	b.serviceTime.add(seconds/workAhead, meanGain)
 	class.latency.add(seconds, meanGain)
-	// Compared at the same times: a class with few requests must not keep the latency of a past overload.
+	// fleetLatency is sampled at the same times as the class's latency: otherwise a class with few requests would seem to
+	// need more work for as long as its mean includes a past overload.
 	class.fleetLatency.add(b.latency.mean, meanGain)
 	class.relativeWork = class.latency.mean / class.fleetLatency.mean
 	machine := attempt.endpoint.machineType
@@ -88,7 +90,7 @@
 	b.observeEndpointLatency(attempt.endpoint, class, elapsed)
 }
 
-// observeEndpointLatency records the latency of an attempt in that of its endpoint. It is capped, as a single slow
+// observeEndpointLatency updates an endpoint's latency with that of an attempt, which is capped, as a single slow
 // response may be due to the request.
 func (b *Balancer) observeEndpointLatency(endpoint *endpoint, class *class, elapsed time.Duration) {
 	latency := b.latencyOf(endpoint)
@@ -97,8 +99,8 @@
 	endpoint.excessLatency.set(latency-b.machineTypeLatency(endpoint.machineType), b.now)
 }
 
-// refreshThroughput renews the mean throughput of the endpoints in the subsets, without those that warm up, and whether
-// this node has learned enough to derive thresholds from it.
+// refreshThroughput recomputes the mean throughput of the endpoints in the subsets, except those that warm up, and
+// whether this node has learned: had enough responses to derive thresholds from them.
 func (b *Balancer) refreshThroughput() {
 	throughput, warm, size := 0.0, 0.0, 0.0
 	for _, placement := range b.placements {
@@ -114,7 +116,7 @@
 	b.learned = throughput > 0 && b.latency.samples >= minResponses*size
 }
 
-// refreshTightestObjective renews the tightest objective for a mean request.
+// refreshTightestObjective recomputes the tightest latency objective, scaled to a mean request.
 func (b *Balancer) refreshTightestObjective() {
 	b.tightestObjective = math.Inf(1)
 	for _, class := range b.classOrder {
@@ -125,7 +127,7 @@
 	}
 }
 
-// refreshExtremes renews the peak throughput and the uncrowded latencies, which are forgotten slowly.
+// refreshExtremes updates the peak throughput and the unloaded latencies, which are forgotten slowly.
 func (b *Balancer) refreshExtremes() {
 	growth := 1 + tickInterval.Seconds()/memoryTau
 	b.peakThroughput = math.Max(b.peakThroughput/growth, b.meanThroughput)
@@ -138,7 +140,8 @@
 	b.uncrowdedLatency = leastLatency(b.uncrowdedLatency*growth, b.latency.mean)
 }
 
-// leastLatency is the least latency after one more average. least is 0 if there is none yet.
+// leastLatency returns the unloaded latency after one more average. least is the present one, or 0 if there is none.
+// An average that is lower than least by up to latencyNoise counts as chance and leaves it unchanged.
 func leastLatency(least, average float64) float64 {
 	if least == 0 || average < least*(1-latencyNoise) {
 		return average / (1 - latencyNoise)
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -1,8 +1,9 @@
 package balancer
 
-// pick chooses an endpoint by the power of two choices: of two random endpoints that are normal, or else overloaded,
-// the one with the lower expected latency. It returns nil and Blocked if there is none. Where the load is checked
-// before a send, only endpoints that have answered are considered.
+// pick chooses an endpoint by the power of two choices: it draws two random endpoints that are normal or, if none is,
+// overloaded, and returns the one with the lower expected delay. It returns nil and Blocked if no endpoint may get the
+// request. Where the load is checked before each send, it considers only endpoints that answered the request's last
+// health checks.
 func (b *Balancer) pick(request *request) (*endpoint, Mode) {
 	from := request.class.placement.endpoints
 	if b.checksLoad {
@@ -15,13 +16,15 @@
 	return best, mode
 }
 
-// expectedDelay is the latency expected of one more request at the endpoint, in seconds; for comparison only.
+// expectedDelay scores an endpoint, for comparison only: the latency of a mean request there, in seconds, times the
+// number of requests in flight including one more.
 func (b *Balancer) expectedDelay(endpoint *endpoint) float64 {
 	return (endpoint.inFlight + 1) * b.latencyOf(endpoint)
 }
 
-// candidates draws two random endpoints of those to which the request may be sent, normal ones if there are any, else
-// overloaded ones. If there is only one, it is both. No more are considered than the placement's subset has.
+// candidates draws two random endpoints from those that the request may be sent to: normal ones if there are any,
+// otherwise overloaded ones. If only one qualifies, it is returned twice; if none does, the mode is Blocked. At most
+// subsetSize endpoints that are not ejected and that the request may be sent to are considered.
 func (b *Balancer) candidates(request *request, from []*endpoint) (first, second *endpoint, mode Mode) {
 	var byMode [2][]*endpoint // normal, overloaded
 	placement := request.class.placement
@@ -57,8 +60,9 @@
 	return endpoints[i], endpoints[(i+offset)%len(endpoints)]
 }
 
-// modeForRequest updates the endpoint's mode and returns it for this request: where the load has been checked, an
-// endpoint is overloaded for one that would wait there for too much of its objective.
+// modeForRequest updates the endpoint's mode and returns the mode that applies to this request. If a health check for
+// the request has reported the endpoint's load, and queueing and service there would take more than waitShare of the
+// request's objective, the endpoint counts as overloaded at least.
 func (b *Balancer) modeForRequest(request *request, endpoint *endpoint) Mode {
 	mode := b.updateMode(request.class.placement, endpoint)
 	work := request.relativeWork * request.class.relativeWork
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	minSlowStartRate = 4.0 // least requests per second of all nodes to an endpoint at full capacity, to derive rates from
-	slowStartGrowth  = 0.5 // of the overload factor, times what an endpoint that warms up can do
+	minSlowStartRate = 4.0 // requests per second from all nodes: least rate assumed for an endpoint at full capacity
+	slowStartGrowth  = 0.5 // fraction of OverloadFactor by which the present capacity is multiplied to get the send rate
 
-	maxClockStep       = time.Hour // by which wall clocks are stepped at most
-	unknownStartGrowth = 0.5       // of the least warmth, gained at most between a start and the update that tells of it
+	maxClockStep       = time.Hour // largest step of a wall clock that is assumed
+	unknownStartGrowth = 0.5       // most warmth gained before an update announces a start, as a fraction of the least
 )
 
-// slowStartState is the slow start of an endpoint: until it has warmed up, a budget limits what it is sent.
+// slowStartState is the slow start of an endpoint: until it has warmed up, a token bucket limits what is sent to it.
 type slowStartState struct {
 	warmingUp       bool
 	warmupStartedAt Time
-	slowStartBudget tokenBucket // sends; each send takes a token, also when the endpoint is warm
+	slowStartBudget tokenBucket // each send takes a token, even if the endpoint is warm
 }
 
-// startWarmup starts the slow start of an endpoint whose process started at the given time. The first tokens of the
-// nodes come at different times.
+// startWarmup starts the slow start of an endpoint whose process started at the given time. The initial fill of the
+// bucket is random, so that the nodes get their first tokens at different times.
 func (b *Balancer) startWarmup(endpoint *endpoint, startedAt Time) {
 	endpoint.warmingUp = true
 	endpoint.warmupStartedAt = startedAt
@@ -29,8 +29,8 @@
 	endpoint.throughput.value = 0
 }
 
-// clockLag is how far this node's clock is behind the one that dates starts, as far as an update shows it: no endpoint
-// has started later than now.
+// clockLag estimates how far this node's clock is behind the one that start times come from. A start time later than
+// now reveals a lag, as no endpoint can have started in the future.
 func (b *Balancer) clockLag(update EndpointUpdate) time.Duration {
 	lag := time.Duration(0)
 	for _, entry := range update.Endpoints {
@@ -39,12 +39,13 @@
 	return lag
 }
 
-// endpointStartedAt is when an endpoint with a new start time has started, on the balancer's clock.
+// endpointStartedAt returns when an endpoint with a new start time has started, on the balancer's clock.
 //
-// Wall clocks, which date starts, may be stepped. If an update tells of a start that is new to this process, the start
-// was recent: no longer ago than maxUnannouncedAge, which the budget of slow start allows for. The dates count where
-// they cannot be checked so: in a process's first full list, and for a start so long ago that no step explains it. An
-// endpoint that was listed with this start before and is back keeps its time.
+// Start times come from wall clocks, which may be stepped. A start that is new to this node was therefore recent: no
+// longer ago than maxUnannouncedAge, which the slow start budget allows for. The start time is trusted where this does
+// not hold: in the lists up to and including this process's first full list from discovery, and if the start is so long
+// ago that no clock step explains it. An endpoint that was removed and is back with the same start time keeps its old
+// warm-up start.
 func (b *Balancer) endpointStartedAt(entry Endpoint, kind UpdateKind, lag time.Duration) Time {
 	removed, ok := b.recentlyRemoved[entry.ID]
 	if ok && removed.startedAt == entry.StartedAt {
@@ -58,14 +59,15 @@
 	return b.now - age
 }
 
-// maxUnannouncedAge is the time in which the warmth of an endpoint grows by unknownStartGrowth from its least.
+// maxUnannouncedAge is the time in which the warmth of an endpoint grows from its least value by the fraction
+// unknownStartGrowth of it.
 func (b *Balancer) maxUnannouncedAge() time.Duration {
 	least := b.settings.SlowStartCapacity
 	part := unknownStartGrowth * least / math.Max(1-least, 1e-9)
 	return time.Duration(math.Min(1, part) * float64(b.settings.SlowStartDuration))
 }
 
-// warmth is the part of its capacity that an endpoint has now. It ends the slow start of one that has all of it.
+// warmth returns the fraction of its capacity that an endpoint has now, and ends its slow start once that is 1.
 func (b *Balancer) warmth(endpoint *endpoint) float64 {
 	elapsed := (b.now - endpoint.warmupStartedAt).Seconds() / math.Max(b.settings.SlowStartDuration.Seconds(), 1e-9)
 	endpoint.warmingUp = endpoint.warmingUp && elapsed < 1
@@ -75,8 +77,9 @@
 	return b.settings.SlowStartCapacity + (1-b.settings.SlowStartCapacity)*max(0, elapsed)
 }
 
-// slowStartExhausted reports whether an endpoint that warms up may get nothing now. Only the nodes that have it in
-// their subsets send to it: if many endpoints are ejected, every node would turn to one that has just restarted.
+// slowStartExhausted reports whether an endpoint is warming up and may get no request of this node now. Only nodes that
+// have the endpoint in their subset send to it: otherwise, when many endpoints are ejected, every node would turn to
+// one that has just restarted.
 func (b *Balancer) slowStartExhausted(endpoint *endpoint) bool {
 	warmth := b.warmth(endpoint)
 	if !endpoint.warmingUp {
@@ -86,13 +89,14 @@
 		return true
 	}
 	rate := b.slowStartRate(endpoint, warmth)
-	burst := 1 + 1/b.nodesPerEndpoint // what many nodes save up comes at once
+	burst := 1 + 1/b.nodesPerEndpoint // low, as what many nodes save up may be sent at once
 	endpoint.slowStartBudget.refillExpiring(b.now, rate, burst, b.settings.OverloadDuration)
 	return !endpoint.slowStartBudget.available()
 }
 
-// slowStartRate is the rate, per second, at which this node may send to an endpoint that warms up: by its warmth and
-// the rate of warm endpoints or, if that is more, by the responses that it has given here.
+// slowStartRate is the rate, in requests per second, at which this node may send to an endpoint that warms up. It is
+// based on the endpoint's warmth and the throughput of warm endpoints or, if that gives more, on the endpoint's
+// responses to this node.
 func (b *Balancer) slowStartRate(endpoint *endpoint, warmth float64) float64 {
 	byWarmth := warmth * math.Max(b.meanThroughput, minSlowStartRate/b.nodesPerEndpoint)
 	byResponses := endpoint.throughput.current(b.now, throughputTau) - 1/throughputTau // one response may be chance
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// Each node works with a subset of the endpoints, as these accept few connections, and as a node that meets an endpoint
-// only every few seconds learns of an overload there when it is over. The subsets of all nodes cover the endpoints
-// evenly: see orderEndpoints.
+// Each node sends only to a subset of the endpoints. Endpoints accept few connections, and a node that sends to an
+// endpoint only every few seconds learns of an overload there when it is over. The subsets of all nodes cover the
+// endpoints evenly: see orderEndpoints.
 
 const (
 	minSubsetSize          = 4.0  // endpoints: some may fail together
-	subsetOrders           = 8    // orders of the endpoints: neighbours in one are far apart in the others
-	targetNodesPerEndpoint = 10.0 // on average: each must often have responses from it
+	subsetOrders           = 8    // number of orders of the endpoints: neighbors in one are far apart in the others
+	targetNodesPerEndpoint = 10.0 // nodes that share an endpoint, on average: each must often get responses from it
 )
 
-// placement holds the classes that may use the same endpoints. Overload is judged, and requests are dropped, by
-// placement.
+// placement is the state shared by the classes that may use the same endpoints. Overload is detected and requests are
+// dropped per placement.
 type placement struct {
-	zones        []string // allowed; nil: all, empty: none
-	machineTypes []string // the same, by machine type
+	zones        []string // allowed zones; nil: all, empty: none
+	machineTypes []string // allowed machine types; nil: all, empty: none
 	topWeight    float64  // highest priority weight of its classes
 
-	endpoints  []*endpoint // allowed ones, in subset order
-	subset     []*endpoint // the first of them that are ready and not ejected
-	subsetSize float64     // the most that the subset has
+	endpoints  []*endpoint // allowed endpoints, in this node's order
+	subset     []*endpoint // the first subsetSize of them that are ready and not ejected
+	subsetSize float64     // maximum size of the subset
 
 	aggregateState
 	shedding
@@ -36,7 +36,7 @@
 		(p.machineTypes == nil || slices.Contains(p.machineTypes, endpoint.MachineType))
 }
 
-// placementFor returns the placement with these rules, which it adds if there is none.
+// placementFor returns the placement that allows these zones and machine types, and adds it if there is none.
 func (b *Balancer) placementFor(zones, machineTypes []string) *placement {
 	for _, placement := range b.placements {
 		if sameRule(placement.zones, zones) && sameRule(placement.machineTypes, machineTypes) {
@@ -48,21 +48,23 @@
 	return added
 }
 
-// sameRule compares two lists of what is allowed. No rule (nil) differs from nothing allowed (empty).
+// sameRule reports whether two allow lists are equal. A nil list, which allows everything, differs from an empty one,
+// which allows nothing.
 func sameRule(a, b []string) bool { return (a == nil) == (b == nil) && slices.Equal(a, b) }
 
-// subsetOrder is the order of the endpoints that this node uses, one of subsetOrders.
+// subsetOrder is the number of the endpoint order that this node uses, from 0 to subsetOrders-1.
 func (b *Balancer) subsetOrder() int { return b.settings.NodeIndex % subsetOrders }
 
-// subsetStart is where this node's subset starts in its order of the endpoints, from 0 to 1. The nodes of one order
-// start evenly spread over it. With one order for all, nodes that share an endpoint would share most others, and the
-// load of endpoints lost could only move on to the next few.
+// subsetStart is the position, in [0, 1), at which this node's subset starts in its order of the endpoints. The starts
+// of the nodes with the same order are spread evenly over it. If all nodes had one order, nodes that share an endpoint
+// would share most others, and the load of lost endpoints could only move on to the next few.
 func (b *Balancer) subsetStart() float64 {
 	inOrder := float64(b.settings.NodeIndex / subsetOrders)
 	return math.Mod(inOrder*math.Phi+float64(b.subsetOrder())/subsetOrders, 1)
 }
 
-// assignSubsets sets the size of the placements' subsets, and which endpoints are in one if none is ejected.
+// assignSubsets sets the size of each placement's subset, marks the endpoints that are in a subset if none is ejected,
+// and computes the mean number of nodes per endpoint.
 func (b *Balancer) assignSubsets() {
 	nodes := float64(b.settings.Nodes)
 	b.nodesPerEndpoint = 0
@@ -81,7 +83,8 @@
 	b.nodesPerEndpoint = math.Max(1, b.nodesPerEndpoint)
 }
 
-// refreshSubsets renews the subsets, and what the overload thresholds need to know of the endpoints in them.
+// refreshSubsets recomputes the subsets and the estimates from which the overload thresholds of their endpoints are
+// derived.
 func (b *Balancer) refreshSubsets() {
 	for _, placement := range b.placements {
 		b.refreshSubset(placement)
@@ -93,7 +96,8 @@
 	}
 }
 
-// refreshSubset fills a placement's subset. The next endpoints in order take the place of those that are ejected.
+// refreshSubset recomputes a placement's subset and the overload thresholds of its endpoints. The next endpoints in
+// order take the place of those that are ejected or not ready.
 func (b *Balancer) refreshSubset(placement *placement) {
 	placement.subset = placement.subset[:0]
 	for _, endpoint := range placement.endpoints {
