--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -59,8 +59,8 @@
 	return b.machineTypeLatency(endpoint.machineType) + endpoint.excessLatency.current(b.now, throughputTau)
 }
 
-// expectedLatency estimates the latency of a request of the class at an endpoint, in seconds. For faster endpoints
-// than the mean it returns the latency at the mean endpoint.
+// expectedLatency estimates the latency of a request of the class at an endpoint, in seconds. An endpoint with a
+// latency below the fleet's mean counts as one at the mean.
 func (b *Balancer) expectedLatency(endpoint *endpoint, class *class) float64 {
 	return math.Max(b.latency.mean, b.latencyOf(endpoint)) * class.relativeWork
 }
--- a/balancer/latency_test.go
+++ b/balancer/latency_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// One of many nodes has too few responses from one endpoint to know it, but many from its machine type. By the fleet's
-// mean, a slow machine would look as good as a fast one whenever it has not responded for a while.
+// Guards against estimating an endpoint that has not responded for a while by the fleet's mean latency, by which a slow
+// machine would look as good as a fast one. One of many nodes has too few responses from a single endpoint to know its
+// latency, but many from its machine type.
 func TestUnknownEndpointIsExpectedToBeLikeItsMachineType(t *testing.T) {
 	settings := Settings{
 		Nodes:        80,
@@ -25,9 +26,9 @@
 		return node.latencyOf(node.endpointsByID[fast]), node.latencyOf(node.endpointsByID[slow])
 	}
 	if fast, slow := latencies(6, 7); fast != slow {
-		t.Error("machine types differ before anything is known of them")
+		t.Error("expected latencies of the machine types differ before the first response")
 	}
-	for i := range 200 { // only the first six respond
+	for i := range 200 { // only the first six endpoints respond
 		node.now += 50 * time.Millisecond
 		endpoint := node.endpointsByID[EndpointID(i%6)]
 		latency := 40 * time.Millisecond
@@ -37,10 +38,12 @@
 		node.recordOutcome(endpoint, attemptAt(node, endpoint), AttemptEnded{Elapsed: latency})
 	}
 	if fast, slow := latencies(6, 7); slow < 2*fast {
-		t.Errorf("%.3f s is expected of the fast and %.3f s of the slow, want about three times as much", fast, slow)
+		t.Errorf("expected latency %.3f s on the fast machine type and %.3f s on the slow one, want about three times as much",
+			fast, slow)
 	}
 	node.now += time.Minute
 	if fast, slow := latencies(0, 1); slow < 2*fast {
-		t.Errorf("a minute later %.3f s and %.3f s are expected of those that responded", fast, slow)
+		t.Errorf("a minute after the last response: expected latency %.3f s (fast) and %.3f s (slow), want at least twice as much",
+			fast, slow)
 	}
 }
--- a/balancer/objective_test.go
+++ b/balancer/objective_test.go
@@ -8,13 +8,15 @@
 // patience is how long a client of these tests waits.
 const patience = 2 * time.Second
 
-// classesWithoutObjective are a class whose settings state no latency objective, and one that the settings lack.
+// classesWithoutObjective has the only class of the settings for two cases: class "page" without a latency objective,
+// and another class, so that "page" is missing from the settings.
 var classesWithoutObjective = map[string]Class{
 	"no objective": {Name: "page", PriorityWeight: 1, Deadline: patience, Idempotency: Idempotent},
 	"unknown":      {Name: "another", PriorityWeight: 1, Deadline: patience, Idempotency: Idempotent},
 }
 
-// newNodeWithoutObjective returns a node that has learned, and the requests of which have no objective.
+// newNodeWithoutObjective returns a node that has learned, and whose requests of class "page" have no latency
+// objective.
 func newNodeWithoutObjective(class Class) *Balancer {
 	node := New(Settings{
 		MaxAttempts:       3,
@@ -30,11 +32,12 @@
 	node.learned = true
 	node.latency = ewma{mean: 0.05, samples: 1000}
 	node.trialBudget.deposit(1, 1)
-	node.classByName("page").Idempotency = Idempotent // also where the settings lack it
+	node.classByName("page").Idempotency = Idempotent // also if the settings lack the class
 	return node
 }
 
-// A trial request leaves time for another attempt, whatever the settings say of its class.
+// Guards against a trial request that takes all of the client's time if the class has no objective: it must leave time
+// for another attempt.
 func TestTrialLeavesTimeWithoutObjective(t *testing.T) {
 	for name, class := range classesWithoutObjective {
 		node := newNodeWithoutObjective(class)
@@ -48,28 +51,31 @@
 			}
 			sent = true
 			if send.Timeout <= 0 || send.Timeout > patience/2 {
-				t.Errorf("%s: a trial request has %v of %v", name, send.Timeout, patience)
+				t.Errorf("%s: a trial request has a timeout of %v, want more than 0 and at most half of %v",
+					name, send.Timeout, patience)
 			}
 		}
 		if !sent {
-			t.Errorf("%s: no trial request: %v", name, actions)
+			t.Errorf("%s: no trial request among the actions %v", name, actions)
 		}
 	}
 }
 
-// An attempt that takes much longer than usual is given up while there is time for another.
+// Guards against an attempt that waits until the deadline if the class has no objective: one that takes much longer
+// than usual must be given up while there is time for another.
 func TestAttemptTimeoutWithoutObjective(t *testing.T) {
 	for name, class := range classesWithoutObjective {
 		node := newNodeWithoutObjective(class)
 		node.Handle(node.now, RequestArrived{ID: "q", Class: "page", Timeout: patience})
 		request := node.requests["q"]
 		if got := node.attemptTimeout(request, node.endpoints[0]); got <= 0 || got > patience/2 {
-			t.Errorf("%s: an attempt has %v of %v", name, got, patience)
+			t.Errorf("%s: an attempt has a timeout of %v, want more than 0 and at most half of %v", name, got, patience)
 		}
 	}
 }
 
-// Failing fast attracts no work.
+// Guards against an endpoint that attracts requests by failing fast: a failure must count as a slow response, also if
+// the class has no objective.
 func TestFastFailureIsSlowWithoutObjective(t *testing.T) {
 	for name, class := range classesWithoutObjective {
 		node := newNodeWithoutObjective(class)
@@ -78,12 +84,14 @@
 		before := node.latencyOf(endpoint)
 		node.Handle(node.now, AttemptEnded{ID: "q", Endpoint: endpoint.ID, Elapsed: time.Millisecond, Outcome: ServerError})
 		if after := node.latencyOf(endpoint); after <= before {
-			t.Errorf("%s: a failure after 1 ms moves the latency from %v s to %v s", name, before, after)
+			t.Errorf("%s: a failure after 1 ms moves the endpoint's latency from %v s to %v s, want a higher one",
+				name, before, after)
 		}
 	}
 }
 
-// Where the load is checked, an idle endpoint is not overloaded for the request.
+// Guards against treating an idle endpoint as overloaded, where the load is checked, for a request whose class has no
+// objective to compare its wait with.
 func TestCheckedEndpointWithoutObjective(t *testing.T) {
 	for name := range classesWithoutObjective {
 		node := newCheckingNode(lowHealthCheckCost)
@@ -96,12 +104,12 @@
 		node.Handle(node.now, HealthCheckEnded{Endpoint: checked[0], Report: reportOf(0, 0)})
 		actions := node.Handle(node.now, HealthCheckEnded{Endpoint: checked[1], Report: reportOf(0, 0)})
 		if len(sends(actions)) != 1 {
-			t.Errorf("%s: not sent to an idle endpoint: %v", name, actions)
+			t.Errorf("%s: want one send to an idle endpoint, got the actions %v", name, actions)
 		}
 	}
 }
 
-// A rejected client is told to wait.
+// Guards against rejections without a Retry-After time if the class has no objective.
 func TestRetryAfterWithoutObjective(t *testing.T) {
 	for name, class := range classesWithoutObjective {
 		node := newNodeWithoutObjective(class)
@@ -111,7 +119,7 @@
 		actions := node.Handle(node.now, RequestArrived{ID: "q", Class: "page", Timeout: patience})
 		reject, ok := actions[0].(Reject)
 		if !ok || reject.RetryAfter <= 0 || reject.RetryAfter > time.Second {
-			t.Errorf("%s: %v, want a rejection with a time of at most 1 s", name, actions)
+			t.Errorf("%s: actions %v, want first a rejection with a Retry-After time above 0 and of at most 1 s", name, actions)
 		}
 	}
 }
--- a/balancer/overload_behaviour_test.go
+++ b/balancer/overload_behaviour_test.go
@@ -12,7 +12,7 @@
 // serialEndpoints serve one request at a time, in 20 ms each.
 type serialEndpoints struct {
 	freeAt       map[balancer.EndpointID]time.Duration
-	longestQueue time.Duration // latency of a request, with the wait before it
+	longestQueue time.Duration // highest latency of a request, including its wait
 	latencySum   time.Duration
 	responses    int
 }
@@ -32,7 +32,7 @@
 	return s
 }
 
-// meanLatency is the mean since the last call.
+// meanLatency returns the mean latency since the last call.
 func (s *serialEndpoints) meanLatency() time.Duration {
 	mean := time.Duration(0)
 	if s.responses > 0 {
@@ -42,7 +42,8 @@
 	return mean
 }
 
-// runMixed plays some time with turns of 50 ms for each of two classes, at the given rates per second of a turn.
+// runMixed runs the harness for the given time with requests of two classes, which alternate every 50 ms. Each class
+// arrives at its rate per second in its own intervals only, so at half that rate on average.
 func (h *harness) runMixed(duration time.Duration, rate1 float64, class1 string, rate2 float64, class2 string) {
 	const turn = 50 * time.Millisecond
 	for end := h.now + duration; h.now < end; {
@@ -51,7 +52,7 @@
 	}
 }
 
-// Light traffic is not rejected, even with many endpoints and few requests.
+// Guards against rejecting light traffic where there are many endpoints and few requests for each.
 func TestLightTrafficIsServed(t *testing.T) {
 	settings := harnessSettings()
 	settings.Nodes = 6
@@ -60,15 +61,15 @@
 	h.resetCounts()
 	h.run(20*time.Second, 30, "ordinary")
 	if h.rejected > 3 {
-		t.Errorf("%d of 600 requests of light traffic were rejected", h.rejected)
+		t.Errorf("%d of 600 requests of light traffic were rejected, want at most 3", h.rejected)
 	}
 }
 
-// On overload the ordinary class is shed first.
+// Guards against shedding the important class on overload before the ordinary one.
 func TestOverloadShedsByPriority(t *testing.T) {
 	h := newHarness(harnessSettings(), 3)
 	h.serveSerially()
-	rejected := map[string]int{} // on arrival
+	rejected := map[string]int{} // requests rejected on arrival, by class
 	for range 400 {
 		for _, class := range []string{"important", "ordinary", "ordinary", "ordinary"} {
 			before := h.rejected
@@ -80,11 +81,13 @@
 		h.run(15*time.Millisecond, 0, "")
 	}
 	if rejected["ordinary"] < 200 || rejected["important"]*6 > rejected["ordinary"] {
-		t.Errorf("rejected on arrival: %v", rejected)
+		t.Errorf("rejected on arrival: %v, want at least 200 ordinary and at most a sixth of that number important requests",
+			rejected)
 	}
 }
 
-// An endpoint list that is empty or wholly drains rejects at once, and odd settings and events do no harm.
+// Guards against requests left without an answer if the endpoint list is empty or all endpoints drain, and against
+// panics on empty settings, unknown classes and events for unknown requests.
 func TestNoUsableEndpointOrOddSettings(t *testing.T) {
 	draining := []balancer.Endpoint{{ID: 1, State: balancer.Draining}}
 	for _, endpoints := range [][]balancer.Endpoint{nil, draining} {
@@ -93,14 +96,14 @@
 			h.handle(balancer.EndpointUpdate{Kind: balancer.FullUpdate, Endpoints: endpoints})
 			h.handle(balancer.RequestArrived{ID: "a", Class: "unknown", Timeout: time.Second})
 			if _, ok := h.finalActions["a"].(balancer.Reject); !ok || len(h.sent) != 0 {
-				t.Errorf("%v: answer %v, sends %v", endpoints, h.finalActions["a"], h.sent)
+				t.Errorf("endpoints %v: answer %v, sends %v, want Reject and no sends", endpoints, h.finalActions["a"], h.sent)
 			}
 		}
 	}
 	h := newHarness(balancer.Settings{}, 2) // no classes at all
 	h.handle(balancer.RequestArrived{ID: "a", Class: "x", Timeout: 0})
 	if _, ok := h.finalActions["a"].(balancer.Reject); !ok {
-		t.Error("a request without time was not rejected")
+		t.Error("a request with timeout 0 was not rejected")
 	}
 	h.handle(balancer.RequestArrived{ID: "b", Class: "x", Timeout: time.Second})
 	h.handle(balancer.AttemptEnded{
@@ -114,11 +117,12 @@
 	h.handle(balancer.TimerFired{Token: 99})
 	h.run(2*time.Second, 50, "x")
 	if h.totalSent() == 0 {
-		t.Error("nothing was sent without classes")
+		t.Error("no request was sent with settings without classes")
 	}
 }
 
-// A rejection blocks its endpoint for the validity of the mode only.
+// Guards against sends to an endpoint that has just rejected a request, and against a block that lasts for longer than
+// modeValidity.
 func TestRejectionBlocksForItsValidity(t *testing.T) {
 	h := newHarness(harnessSettings(), 1)
 	h.respond = func(balancer.EndpointID) (time.Duration, balancer.Outcome) {
@@ -129,19 +133,19 @@
 	h.resetCounts()
 	h.run(800*time.Millisecond, 20, "ordinary")
 	if h.sent[1] != 0 {
-		t.Errorf("%d sends to a blocked endpoint", h.sent[1])
+		t.Errorf("%d sends to a blocked endpoint, want none", h.sent[1])
 	}
 	h.run(200*time.Millisecond, 0, "ordinary")
 	h.run(200*time.Millisecond, 20, "ordinary")
 	if h.sent[1] == 0 {
-		t.Error("the block did not lapse")
+		t.Error("no request was sent after modeValidity: the block did not lapse")
 	}
 }
 
-// One class suddenly costs eleven times as much, at light traffic: no endpoint is ejected for it, and most of the other
-// class is served. Guards against thresholds from what light traffic happened to have in flight: without the least
-// threshold, 60 of 300 were served in time. What is still rejected here is the price of not knowing that the endpoints
-// could do more.
+// Guards against thresholds from what light traffic happened to have in flight: without minThreshold, 60 of 300
+// requests were served in time. At light traffic, the requests of one class suddenly take eleven times as long. No
+// endpoint may be ejected for it, and most of the other class must be served. Some requests are still rejected, as the
+// node does not know that the endpoints could serve more.
 func TestOneClassSuddenlyCostsMore(t *testing.T) {
 	h := newHarness(harnessSettings(), 6)
 	h.runMixed(10*time.Second, 61, "ordinary", 21, "once")
@@ -158,7 +162,7 @@
 		t.Errorf("%d endpoints were ejected because of heavy requests", h.logActions)
 	}
 	if h.inTime["ordinary"] < 190 {
-		t.Errorf("%d of 300 of the class that costs what it did were served in time, %d rejected",
+		t.Errorf("%d of 300 requests of the unchanged class were served in time, want at least 190; %d rejected",
 			h.inTime["ordinary"], h.rejected)
 	}
 	least, most := h.sent[1], h.sent[1]
@@ -166,12 +170,12 @@
 		least, most = min(least, n), max(most, n)
 	}
 	if len(h.sent) < 6 || most > 2*least {
-		t.Errorf("uneven load on equal endpoints: %v", h.sent)
+		t.Errorf("sends by endpoint: %v, want all 6 endpoints and at most twice the least for each", h.sent)
 	}
 }
 
-// Overload with rejected clients that come back, twice each: the important class is still served, the queues stay short,
-// and clients get different Retry-After times.
+// Guards against an overload that gets worse as rejected clients retry, twice each: the important class must still be
+// served, queues must stay short, and clients must get different Retry-After times.
 func TestOverloadWithClientRetries(t *testing.T) {
 	h := newHarness(harnessSettings(), 4)
 	h.retries = 2
@@ -181,30 +185,32 @@
 	h.inTime = map[string]int{}
 	h.retryAfters = nil
 	endpoints.longestQueue = 0
-	h.runMixed(10*time.Second, 40, "important", 600, "ordinary") // 20 and 300 a second; the endpoints do 200
+	h.runMixed(10*time.Second, 40, "important", 600, "ordinary") // 20 and 300/s on average; the endpoints can serve 200/s
 	if h.inTime["important"] < 170 {
-		t.Errorf("%d of 200 important requests in time", h.inTime["important"])
+		t.Errorf("%d of 200 important requests in time, want at least 170", h.inTime["important"])
 	}
 	if h.inTime["ordinary"] < 1000 {
-		t.Errorf("%d ordinary requests in time, of some 1800 that the endpoints could do", h.inTime["ordinary"])
+		t.Errorf("%d ordinary requests in time, of about 1800 that the endpoints could serve, want at least 1000",
+			h.inTime["ordinary"])
 	}
 	if endpoints.longestQueue > 300*time.Millisecond {
-		t.Errorf("an endpoint has a queue of %v", endpoints.longestQueue)
+		t.Errorf("the longest queue of an endpoint takes %v, want at most 300 ms", endpoints.longestQueue)
 	}
 	different := map[time.Duration]bool{}
 	for _, retryAfter := range h.retryAfters {
 		different[retryAfter] = true
 	}
 	if len(different) < len(h.retryAfters)/4 {
-		t.Errorf("%d rejections with %d different Retry-After times", len(h.retryAfters), len(different))
+		t.Errorf("%d rejections with %d different Retry-After times, want at least a quarter as many",
+			len(h.retryAfters), len(different))
 	}
 }
 
-// Guards against forgetting how fast an uncrowded fleet responds: an overload of a minute must not make the queues that
-// it causes seem normal, or they grow until endpoints slow down.
+// Guards against forgetting the unloaded latency: an overload of a minute must not make the queues that it causes seem
+// normal, or they grow until endpoints slow down.
 func TestLongOverloadDoesNotLengthenQueues(t *testing.T) {
 	settings := harnessSettings()
-	settings.Classes[1].LatencyObjective = 10 * time.Second // far off: only the uncrowded latency limits the queue
+	settings.Classes[1].LatencyObjective = 10 * time.Second // so long that only the unloaded latency limits the queue
 	h := newHarness(settings, 4)
 	endpoints := h.serveSerially()
 	h.run(10*time.Second, 100, "ordinary")
@@ -218,7 +224,7 @@
 	late := endpoints.meanLatency()
 	t.Logf("mean latency %v after 10 s of overload, %v after 75 s", early, late)
 	if early == 0 || late > early*5/4 {
-		t.Errorf("mean latency %v after 10 s of overload, %v after 75 s", early, late)
+		t.Errorf("mean latency %v after 10 s of overload, %v after 75 s, want at most 1.25 times the first", early, late)
 	}
 }
 
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// A node with few requests at each endpoint must not reject because they come together by chance, but must if they
-// stay: counts are summed and smoothed.
+// Guards against rejections when a node with few requests at each endpoint has several in flight at once by chance, and
+// against missing an overload that lasts: counts are summed over the subset and smoothed.
 func TestAggregateIsSmoothed(t *testing.T) {
 	node := newAggregatedNode(t)
 	placement := node.placements[0]
@@ -42,13 +42,13 @@
 	subset[0].inFlight = 1
 	node.updateAggregate(placement)
 	if placement.mode != Normal || node.updateMode(placement, subset[0]) != Normal {
-		t.Errorf("one request, just sent, at H %.2f in all: %v", high, placement.mode)
+		t.Errorf("one request, just sent, at a total H of %.2f: mode %v, want Normal", high, placement.mode)
 	}
 	subset[0].inFlight = 2
 	subset[1].inFlight = 2
 	node.updateAggregate(placement)
 	if placement.mode == Normal {
-		t.Errorf("four requests at once at H %.2f in all: normal", high)
+		t.Errorf("four requests at once at a total H of %.2f: mode Normal, want a higher one", high)
 	}
 
 	node = newAggregatedNode(t)
@@ -66,7 +66,7 @@
 		node.updateAggregate(placement)
 	}
 	if placement.mode != Overloaded {
-		t.Errorf("a tenth more than H for 12 s: %v", placement.mode)
+		t.Errorf("a tenth more than H for 12 s: mode %v, want Overloaded", placement.mode)
 	}
 	for _, endpoint := range subset {
 		endpoint.inFlight = 0
@@ -76,12 +76,12 @@
 		node.updateAggregate(placement)
 	}
 	if placement.mode != Normal {
-		t.Errorf("nothing for 12 s: %v", placement.mode)
+		t.Errorf("no requests for 12 s: mode %v, want Normal", placement.mode)
 	}
 }
 
-// Clients that are rejected come back at once, so an overload fills what room there is above H. At half as much again as
-// H all endpoints have queues: nothing more may go there, whatever its priority.
+// Guards against sending more to endpoints far above H. Rejected clients retry at once, so an overload fills any room
+// above H. At 1.5 times H all endpoints have queues: no request may be sent there, whatever its priority.
 func TestNothingIsSentFarAboveH(t *testing.T) {
 	node := newAggregatedNode(t)
 	placement := node.placements[0]
@@ -94,31 +94,32 @@
 		node.updateAggregate(placement)
 	}
 	if placement.mode != Blocked || placement.excess != 1 {
-		t.Errorf("half as much again as H for 5 s: mode %v, excess %.2f", placement.mode, placement.excess)
+		t.Errorf("1.5 times H for 5 s: mode %v, excess %.2f, want Blocked and 1", placement.mode, placement.excess)
 	}
 	for _, id := range sends(node.Handle(node.now, RequestArrived{ID: "a", Class: "page", Timeout: time.Second})) {
-		t.Errorf("sent to %d nevertheless", id)
+		t.Errorf("a request was sent to endpoint %d, although all are blocked", id)
 	}
 }
 
-// A rejection blocks its own endpoint even if the subset is judged as a whole.
+// Guards against losing the effect of a rejection where the subset is evaluated as a whole: the endpoint that rejected
+// a request must be blocked, and only that one.
 func TestImposedModeOfAggregatedEndpoint(t *testing.T) {
 	node := newAggregatedNode(t)
 	placement := node.placements[0]
 	rejecting, other := placement.subset[0], placement.subset[1]
 	node.impose(rejecting, Blocked, modeValidity)
 	if node.updateMode(placement, rejecting) != Blocked || node.updateMode(placement, other) != Normal {
-		t.Error("the imposed mode is lost, or holds for another endpoint")
+		t.Error("after a rejection: want the endpoint that rejected Blocked and the other Normal")
 	}
 	node.now += modeValidity
 	if node.updateMode(placement, rejecting) != Normal {
-		t.Error("the imposed mode did not lapse")
+		t.Error("the imposed mode did not lapse after modeValidity")
 	}
 }
 
-// A request that times out shows that an endpoint's queue is longer than clients wait, which the few own requests of
-// one of many nodes do not show. The endpoint is overloaded for some seconds, in which others get the work. One that
-// rejected a request stays blocked.
+// Guards against sending on to an endpoint whose queue is longer than clients wait. One of many nodes does not see the
+// queue by its own few requests there, but by a timeout: it then treats the endpoint as overloaded for some seconds, in
+// which others get the requests. An endpoint that rejected a request stays blocked.
 func TestTimeoutMeansOverloaded(t *testing.T) {
 	node := newAggregatedNode(t)
 	placement := node.placements[0]
@@ -129,10 +130,10 @@
 		node.recordOutcome(endpoint, timedOut, AttemptEnded{Outcome: TimedOut, Elapsed: time.Second})
 	}
 	if got := node.updateMode(placement, slow); got != Overloaded || slow.ejected {
-		t.Errorf("after a timeout: mode %v, ejected %v", got, slow.ejected)
+		t.Errorf("after a timeout: mode %v, ejected %v, want Overloaded and false", got, slow.ejected)
 	}
 	if got := node.updateMode(placement, full); got != Blocked {
-		t.Errorf("a full endpoint whose request timed out: mode %v", got)
+		t.Errorf("after a rejection and a timeout: mode %v, want Blocked", got)
 	}
 	for i := range 50 {
 		next := &request{class: node.classOrder[0], relativeWork: 1, deadline: node.now + time.Second}
@@ -142,11 +143,12 @@
 	}
 	node.now += timeoutRest
 	if node.updateMode(placement, slow) != Normal {
-		t.Error("the mode did not lapse")
+		t.Error("the mode imposed by the timeout did not lapse after timeoutRest")
 	}
 }
 
-// If H were rounded once and for all, some endpoints would get no requests at all where H is below one.
+// Guards against endpoints that get no requests at all where H is below one: if the rounding of H did not change over
+// time, H would stay 0 for some of them.
 func TestRoundingOfHMovesOn(t *testing.T) {
 	node := newNode(0, 5, 15)
 	node.learned = true
@@ -172,13 +174,14 @@
 		}
 		high := node.overloadThreshold(endpoint)
 		if part := float64(normal) / periods; high >= 1 || part < high-0.1 || part > high+0.1 {
-			t.Errorf("endpoint %d is normal %.2f of the time at H %.2f", endpoint.ID, part, high)
+			t.Errorf("endpoint %d is normal for a fraction of %.2f of the time, want H, %.2f, to within 0.1",
+				endpoint.ID, part, high)
 		}
 	}
 }
 
-// H follows the uncrowded latency of an endpoint's machine type. By the fleet's, a machine type that is slow but wide
-// would be overloaded with its cores idle.
+// Guards against a threshold based on the unloaded latency of the fleet instead of the endpoint's machine type: a
+// machine with many slow cores would count as overloaded while cores are idle.
 func TestThresholdByMachineType(t *testing.T) {
 	settings := Settings{
 		Nodes:        2,
@@ -199,14 +202,16 @@
 		node.recordOutcome(endpoint, attemptAt(node, endpoint), AttemptEnded{Elapsed: latency})
 		node.refreshSubsets()
 	}
-	for range 2000 { // both give as many responses
+	for range 2000 { // both respond equally often
 		respond(fast, 20*time.Millisecond)
 		respond(slow, 80*time.Millisecond)
 	}
 	if fastH, slowH := node.overloadThreshold(fast), node.overloadThreshold(slow); slowH < 2*fastH {
-		t.Errorf("H is %.2f for the fast and %.2f for the slow, want about four times as much", fastH, slowH)
+		t.Errorf("H is %.2f for the fast machine type and %.2f for the slow one, want about four times as much for the slow",
+			fastH, slowH)
 	}
 	if len(node.machineTypes) > len(settings.MachineTypes)+1 {
-		t.Errorf("%d machine types are kept, though the settings name %d", len(node.machineTypes), len(settings.MachineTypes))
+		t.Errorf("%d machine types are kept, want at most one more than the %d that the settings name",
+			len(node.machineTypes), len(settings.MachineTypes))
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// subsetOf returns the endpoints that a node works with.
+// subsetOf returns the subset of the node's first placement.
 func subsetOf(node *Balancer) []*endpoint { return node.placements[0].subset }
 
-// Endpoints accept few connections: each of many nodes works with a part of the fleet, and each endpoint with a similar
-// part of the nodes.
+// Guards against too many connections at an endpoint, of which it accepts few: each of many nodes must work with a part
+// of the endpoints, and each endpoint must be in the subsets of a similar number of nodes.
 func TestSubsetsAreEven(t *testing.T) {
 	const nodes, endpoints = 360, 60
 	nodesAt := map[EndpointID]int{}
@@ -25,31 +25,31 @@
 	want := nodes * int(minSubsetSize) / endpoints
 	for i := range endpoints {
 		id := EndpointID(i + 1)
-		// Each of the orders may round by one.
+		// Rounding may change the number by one in each of the orders.
 		if n := nodesAt[id]; n < want-subsetOrders/2 || n > want+subsetOrders/2 {
 			t.Errorf("endpoint %d is in the subsets of %d nodes, want about %d", id, n, want)
 		}
 	}
 	if subset := subsetOf(newNode(2, 3, 20)); len(subset) != 20 {
-		t.Errorf("one of 3 nodes works with %d of 20 endpoints", len(subset))
+		t.Errorf("one of 3 nodes works with %d of 20 endpoints, want all", len(subset))
 	}
 }
 
-// An endpoint gives about 30 responses a second. To learn of an overload there while it lasts, a node must see some of
-// them within the time that its memory holds, and still have enough endpoints to choose from.
+// Guards against subsets so large that a node learns of an endpoint's overload too late: of about 30 responses a second
+// from an endpoint, the node must see some within throughputTau. It must still have enough endpoints to choose from.
 func TestSubsetsLeaveResponsesToLearnFrom(t *testing.T) {
 	for _, size := range []struct{ nodes, endpoints int }{{80, 60}, {80, 40}, {120, 60}, {40, 30}} {
 		subset := float64(len(subsetOf(newNode(1, size.nodes, size.endpoints))))
 		seen := 30 * float64(size.endpoints) / float64(size.nodes) / subset * throughputTau
 		if seen < 6 || subset < minSubsetSize {
-			t.Errorf("one of %d nodes at %d endpoints works with %v of them and sees %.1f responses of each within %v s",
+			t.Errorf("one of %d nodes at %d endpoints works with %v of them and sees %.1f responses of each within %v s, want 6",
 				size.nodes, size.endpoints, subset, seen, throughputTau)
 		}
 	}
 }
 
-// Nodes that share an endpoint must share few others. Otherwise the load of endpoints that are lost moves on to the next
-// few in order, and nodes with slow endpoints reject most requests while others have room.
+// Guards against nodes that share an endpoint and also most others. The load of lost endpoints would move on to the
+// next few in order, and nodes with slow endpoints would reject most requests while other endpoints have room.
 func TestNodesShareFewEndpoints(t *testing.T) {
 	const nodes, endpoints = 80, 60
 	subsets := make([]map[EndpointID]bool, nodes)
@@ -70,13 +70,14 @@
 				others[other] = true
 			}
 		}
-		if len(others) < endpoints/3 { // with one order: twice the subset less one, 15
+		if len(others) < endpoints/3 { // a single order would give twice the subset's size less one: 15
 			t.Errorf("the nodes at endpoint %d work with %d of %d endpoints, want a third", id, len(others), endpoints)
 		}
 	}
 }
 
-// An endpoint that is removed changes little in a subset; the next one takes the place of an ejected endpoint.
+// Guards against a removed endpoint changing most of a subset, and against an ejected endpoint staying in it: the next
+// one in order must take its place.
 func TestSubsetsAreStable(t *testing.T) {
 	for index := range 50 {
 		node := newNode(index, 360, 60)
@@ -92,13 +93,14 @@
 			}
 		}
 		if changed > 2 {
-			t.Errorf("node %d: %d of %d endpoints changed as one was removed", index, changed, len(subsetOf(node)))
+			t.Errorf("node %d: %d of %d endpoints changed as one was removed, want at most 2",
+				index, changed, len(subsetOf(node)))
 		}
 		first := subsetOf(node)[0]
 		node.eject(first, "test")
 		node.refreshSubsets()
 		if len(subsetOf(node)) != minSubsetSize || subsetOf(node)[0] == first {
-			t.Errorf("node %d: an ejected endpoint is still in the subset", index)
+			t.Errorf("node %d: an ejected endpoint is still first in the subset, or was not replaced", index)
 		}
 	}
 }
