--- a/balancer/ewma_test.go
+++ b/balancer/ewma_test.go
@@ -44,10 +44,10 @@
 		want   float64
 	}{
 		{"set", func(value *decayingValue) { value.set(5, tauLater) }, 5},
-		{"left alone", func(*decayingValue) {}, 8 / math.E},
+		{"not updated", func(*decayingValue) {}, 8 / math.E},
 		{"event counted", func(value *decayingValue) { value.countEvent(tauLater, tau) }, 8/math.E + 1/tau},
 		{"approaches zero", func(value *decayingValue) { value.approach(0, tauLater, tau) }, 8 / math.E},
-		{"approaches more", func(value *decayingValue) { value.approach(10, tauLater, tau) }, 10 - 2/math.E},
+		{"approaches a higher target", func(value *decayingValue) { value.approach(10, tauLater, tau) }, 10 - 2/math.E},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var value decayingValue
@@ -60,7 +60,7 @@
 	}
 }
 
-// Events at a steady rate are seen at about that rate after some time constants.
+// Guards against a biased rate: after some time constants, events at a steady rate must give about that rate.
 func TestDecayingValueIsARate(t *testing.T) {
 	const tau, rate = 3.0, 20
 	var value decayingValue
--- a/balancer/fleet_slowstart_test.go
+++ b/balancer/fleet_slowstart_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// loadFrom is a load of the one multiple until then, and of the other from then on.
+// loadFrom returns a load, as a multiple of the traffic before the start, that is before until the time then and after
+// from that time on.
 func loadFrom(before float64, then time.Duration, after float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at < then {
@@ -18,16 +19,16 @@
 	}
 }
 
-// within draws a time up to the longest.
+// within returns a function that draws a uniformly distributed time up to longest.
 func within(longest time.Duration) func(rng *rand.Rand) time.Duration {
 	return func(rng *rand.Rand) time.Duration { return time.Duration(rng.Float64() * float64(longest)) }
 }
 
-// never is later than any case lasts.
+// never returns a time later than the end of any case.
 func never(*rand.Rand) time.Duration { return time.Hour }
 
-// slowStartCases say how endpoints start; the tests set the fleet's size. A negative number of starting endpoints means
-// one in so many.
+// slowStartCases describe how endpoints start; the tests set the fleet's size. A negative number n of starting
+// endpoints stands for one endpoint in -n.
 var slowStartCases = []fleetCase{
 	{name: "burst at once"},
 	{name: "idle 2 s, then a burst", load: loadFrom(0, 2*time.Second, 1.5)},
@@ -39,13 +40,13 @@
 	{name: "notified during trials, after 3 s", down: 3 * time.Second, uneven: true, notifiedAfter: within(3 * time.Second)},
 	{name: "a third back after 5 s", starting: -3, down: 5 * time.Second},
 	{name: "a third new, all restarted", starting: -3, restartNodes: true, down: -1},
-	{name: "a storm of three times as much", load: loadFrom(0, 0, 3)},
+	{name: "three times the load", load: loadFrom(0, 0, 3)},
 	{name: "quiet 3 s, then four times", load: loadFrom(0.3, 3*time.Second, 4)},
-	{name: "used to a third", utilization: 0.35, load: loadFrom(0, 2*time.Second, 2)},
+	{name: "utilization 0.35, then twice the load", utilization: 0.35, load: loadFrom(0, 2*time.Second, 2)},
 	{name: "one response in five fails", failureShare: 0.2, uneven: true},
 	{name: "quiet 3 s, then six times", load: loadFrom(0.3, 3*time.Second, 6)},
 	{name: "idle 4 s, then eight times", load: loadFrom(0, 4*time.Second, 8), duration: 8 * time.Second},
-	{name: "used to a fifth, quiet, then eight times", utilization: 0.2, load: loadFrom(0.2, 2*time.Second, 8), uneven: true},
+	{name: "utilization 0.2, quiet, then eight times", utilization: 0.2, load: loadFrom(0.2, 2*time.Second, 8), uneven: true},
 	{name: "a quarter new, idle 2 s, then eight times", starting: -4, down: -1, load: loadFrom(0, 2*time.Second, 8)},
 	{name: "clocks an hour ahead", clocksAhead: time.Hour},
 	{name: "clocks an hour ahead, three new", clocksAhead: time.Hour, starting: 3, down: -1, notifiedAfter: within(2 * time.Second)},
@@ -54,9 +55,9 @@
 	{name: "dated before its last start", clocksAhead: time.Hour, startedBefore: 10 * time.Minute},
 }
 
-// Over a fleet of any size, no endpoint that warms up gets more from all nodes than the settings allow, but for chance.
-// This holds for endpoints that are slow until warm, and for those that respond at once whatever they get: their
-// responses do not permit sending them more.
+// Guards against overloading an endpoint that warms up: in a fleet of any size, it must get no more from all nodes than
+// the settings allow, but for chance. This holds for endpoints that are slow until warm, and for those that respond at
+// once whatever they get: their responses do not permit sending them more.
 func TestSlowStartOfTheFleet(t *testing.T) {
 	sizes := []struct{ nodes, endpoints int }{{5, 12}, {10, 12}, {20, 12}, {30, 12}, {300, 12}, {1, 12}, {2, 40}}
 	rates := []float64{3, 10, 30}
@@ -69,14 +70,14 @@
 				c.endpoints = size.endpoints
 				c.rate = rates[(i+j)%len(rates)]
 				if c.nodes > 100 {
-					c.rate = 3 // many nodes, some requests a second each
+					c.rate = 3 // many nodes, some requests per second at each endpoint
 				}
 				if c.starting < 0 {
 					c.starting = c.endpoints / -c.starting
 				}
 				for _, c.instant = range []bool{false, true} {
 					if c.nodes > 100 && i%4 != 0 || !c.instant && j != i%5 {
-						continue // enough of them to keep the test short
+						continue // only some combinations are run, to keep the test short
 					}
 					checkSlowStart(t, c, int64(i+1))
 				}
@@ -85,7 +86,7 @@
 	}
 }
 
-// checkSlowStart plays a case and fails if an endpoint got too much.
+// checkSlowStart simulates a case and fails if an endpoint that starts got more than is allowed.
 func checkSlowStart(t *testing.T, c fleetCase, seed int64) {
 	t.Helper()
 	f := playFleet(c, seed)
@@ -100,12 +101,12 @@
 		float64(f.unanswered)/float64(max(1, f.arrived)))
 	t.Log(line)
 	if worst.excess() > 0 {
-		t.Error("too much for an endpoint that warms up: ", line)
+		t.Error("an endpoint that warms up got more than is allowed: ", line)
 	}
 }
 
-// allowedLoad is what an endpoint that warms up may get in a span of OverloadDuration by the operators' terms, which
-// leave less for chance where the budget is large.
+// allowedLoad is the number of requests that an endpoint that warms up may get in a span of OverloadDuration by the
+// operators' terms. They leave less margin for chance where the budget is large.
 func allowedLoad(budget float64) float64 {
 	if budget < 30 {
 		return budget + 3*math.Sqrt(budget) + 3
@@ -113,8 +114,9 @@
 	return budget + 2*math.Sqrt(budget) + 2
 }
 
-// Where an endpoint may get hardly two requests in the span that counts, tens of nodes have each had time to save one up
-// for it, and a storm begins at all of them at once.
+// Guards against a burst from tokens saved up in a quiet time: an endpoint may get hardly two requests in a span of
+// OverloadDuration, each of tens of nodes has had time to save up one for it, and a burst of traffic begins at all
+// nodes at once.
 func TestSlowStartAfterAQuietTime(t *testing.T) {
 	broken, endpoints := 0, 0
 	for _, nodes := range []int{10, 20, 30, 100} {
@@ -142,11 +144,11 @@
 			}
 		}
 	}
-	t.Logf("%d of %d endpoints", broken, endpoints)
+	t.Logf("%d of %d endpoints got more than is allowed", broken, endpoints)
 }
 
-// An endpoint that gets nothing never warms up where warmth comes with work: what it gets must be a good part of what it
-// can do by then, whether its nodes see much or little.
+// Guards against starving an endpoint that warms up: where warmth comes with work, one that gets nothing never warms
+// up. It must get a good part of what it can serve by then, whether its nodes see much traffic or little.
 func TestEndpointsWarmUp(t *testing.T) {
 	for _, c := range []fleetCase{
 		{nodes: 5, endpoints: 12, rate: 30},
@@ -160,7 +162,7 @@
 			const seeds = 3
 			c.load = loadFrom(0, 0, 1)
 			c.duration = 10 * time.Second
-			var got, able [2]float64 // in the first 5 s, and in all
+			var got, able [2]float64 // requests received and servable: in the first 5 s, and in all
 			for seed := range int64(seeds) {
 				f := playFleet(c, seed+1)
 				endpoint := f.simulated[0]
@@ -173,9 +175,10 @@
 					}
 				}
 			}
-			t.Logf("it gets %.0f in 5 s and %.0f in 10 s; able to do %.0f and %.0f", got[0], got[1], able[0], able[1])
+			t.Logf("the endpoint got %.0f requests in 5 s and %.0f in 10 s; it can serve %.0f and %.0f",
+				got[0], got[1], able[0], able[1])
 			if got[0] < 0.3*able[0] || got[1] < 0.4*able[1] {
-				t.Errorf("an endpoint that warms up is starved")
+				t.Errorf("the endpoint is starved: want at least 0.3 of what it can serve in 5 s and 0.4 in 10 s")
 			}
 		})
 	}
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -10,7 +10,8 @@
 	"bankshift/balancer"
 )
 
-// fleetCase is a fleet, and how some of its endpoints start. Only the package's interface is used.
+// fleetCase describes a fleet and how some of its endpoints start. The simulation uses only the package's exported
+// interface.
 type fleetCase struct {
 	name string
 
@@ -18,24 +19,24 @@
 	nodes       int
 	endpoints   int
 	rate        float64       // requests per second at an endpoint, on average
-	utilization float64       // the part of a warm endpoint's capacity that this takes; 0: 0.7
+	utilization float64       // the fraction of a warm endpoint's capacity that rate takes; 0: 0.7
 	uneven      bool          // one node in five gets four times as much as the others
-	clocksAhead time.Duration // of the nodes' wall clocks, before the one that dates starts
+	clocksAhead time.Duration // how far the nodes' wall clocks are ahead of the one that start times come from
 
-	// The start. Times count from it.
+	// The start of endpoints. Times count from it.
 	starting      int                            // how many endpoints start; 0: one
 	down          time.Duration                  // how long they were down before; -1: they are new
-	startedBefore time.Duration                  // their earlier processes started so long before; 0: long ago
+	startedBefore time.Duration                  // how long before it their earlier processes started; 0: long ago
 	notifiedAfter func(*rand.Rand) time.Duration // when a node is notified of them; nil: at once
-	restartNodes  bool                           // all nodes start as well
-	load          func(at time.Duration) float64 // the traffic, as a multiple; nil: half as much again
+	restartNodes  bool                           // all nodes restart at the same time
+	load          func(at time.Duration) float64 // the traffic, as a multiple of that before the start; nil: 1.5
 	instant       bool                           // endpoints that warm up respond as fast as others, whatever they get
-	failureShare  float64                        // part of all responses that are errors
-	duration      time.Duration                  // how long it is watched; 0: 5 s
+	failureShare  float64                        // fraction of all responses that are errors
+	duration      time.Duration                  // simulated time after the start; 0: 5 s
 }
 
-// fleet plays a case: all nodes on one virtual clock, endpoints that are slow in proportion to their warmth, and clients
-// that try again.
+// fleet simulates a case: all nodes on one virtual clock, endpoints whose speed is proportional to their warmth, and
+// clients that try again.
 type fleet struct {
 	fleetCase
 	rng      *rand.Rand
@@ -45,15 +46,15 @@
 
 	now   time.Duration
 	queue fleetQueue
-	order int // of the last event that was scheduled
+	order int // order number of the last event that was scheduled
 
 	simulated []*fleetEndpoint // by ID, from 1 on
 	members   []fleetNode
 	requests  map[balancer.RequestID]*fleetRequest
-	lastID    int // of a request
+	lastID    int // ID of the last request
 
 	arrived    int // tries since the start
-	unanswered int // of these, not served by an endpoint
+	unanswered int // tries rejected or failed since the start
 }
 
 type fleetNode struct {
@@ -64,7 +65,7 @@
 
 type fleetEndpoint struct {
 	balancer.Endpoint
-	freeAt   time.Duration // when it is done with what it has
+	freeAt   time.Duration // when it will have served its queue
 	down     bool
 	arrivals []fleetArrival // since its start
 }
@@ -82,14 +83,14 @@
 	answered bool
 }
 
-// fleetEvent is something that will be done.
+// fleetEvent is a scheduled call of do.
 type fleetEvent struct {
 	at    time.Duration
-	order int // of events at the same time
+	order int // events at the same time are called in this order
 	do    func()
 }
 
-// fleetQueue is a heap of events, the next one first.
+// fleetQueue is a heap of events, the earliest first.
 type fleetQueue []fleetEvent
 
 func (q fleetQueue) Len() int { return len(q) }
@@ -104,9 +105,9 @@
 	return last
 }
 
-// playFleet plays a case.
+// playFleet simulates a case and returns the fleet in its final state.
 func playFleet(c fleetCase, seed int64) *fleet {
-	const learning = 4 * time.Second // before the start
+	const learning = 4 * time.Second // simulated before the start, so that the nodes learn
 	if c.utilization == 0 {
 		c.utilization = 0.7
 	}
@@ -187,7 +188,7 @@
 	}
 }
 
-// boot starts a node's process anew: it knows the endpoint list and no request.
+// boot starts or restarts a node's process. The new process knows the endpoint list, but no request.
 func (f *fleet) boot(node int) {
 	settings := f.settings
 	settings.NodeIndex = node
@@ -200,7 +201,7 @@
 	f.handle(node, balancer.EndpointUpdate{Kind: balancer.CachedUpdate, Endpoints: f.listed()})
 }
 
-// startingEndpoints are those that start: the first ones.
+// startingEndpoints returns the endpoints that start, which are the first ones.
 func (f *fleet) startingEndpoints() []*fleetEndpoint { return f.simulated[:max(1, f.starting)] }
 
 func (f *fleet) isStarting(endpoint *fleetEndpoint) bool {
@@ -218,7 +219,7 @@
 	return entries
 }
 
-// entry is an endpoint as the endpoint list has it, on the nodes' clocks.
+// entry returns an endpoint's entry in the endpoint list, with its start time on the nodes' clocks.
 func (f *fleet) entry(endpoint *fleetEndpoint) balancer.Endpoint {
 	entry := endpoint.Endpoint
 	switch {
@@ -260,8 +261,8 @@
 	}
 }
 
-// startClients makes requests arrive at a node, at random times. They are drawn at eight times the rate, and thinned out
-// to what the load is at their time.
+// startClients makes requests arrive at a node at random times. Arrivals are drawn at eight times the rate, and some
+// are dropped at random so that the rest match the load at their time.
 func (f *fleet) startClients(node int, rate float64) {
 	const thinning = 8
 	pause := func() time.Duration {
@@ -288,13 +289,13 @@
 	return f.load(f.now - f.start)
 }
 
-// schedule does something later.
+// schedule makes the simulation call do after the given time.
 func (f *fleet) schedule(after time.Duration, do func()) {
 	f.order++
 	heap.Push(&f.queue, fleetEvent{f.now + after, f.order, do})
 }
 
-// arrive hands a client's try over to a node.
+// arrive passes a client's try to a node.
 func (f *fleet) arrive(node, retries int) {
 	f.lastID++
 	id := balancer.RequestID(fmt.Sprint(f.lastID))
@@ -306,7 +307,7 @@
 	f.handle(node, balancer.RequestArrived{ID: id, Class: "page", Timeout: timeout})
 }
 
-// handle hands an event over to a node and carries out the actions.
+// handle passes an event to a node and carries out the actions.
 func (f *fleet) handle(node int, event balancer.Event) {
 	member := &f.members[node]
 	incarnation := member.incarnation
@@ -314,7 +315,7 @@
 		switch action := action.(type) {
 		case balancer.SetTimer:
 			late := time.Duration(0)
-			if f.nodes > 100 { // busy machines: ticks come late
+			if f.nodes > 100 { // simulates busy machines, where ticks come late
 				late = 75 * time.Millisecond
 			}
 			f.schedule(action.After+late, func() {
@@ -336,7 +337,7 @@
 	}
 }
 
-// retry may make the client of a request that was not served try again.
+// retry records that a request was not served. Its client tries again with probability 1/2, but at most twice.
 func (f *fleet) retry(id balancer.RequestID, wait time.Duration) {
 	request := f.requests[id]
 	request.answered = true
@@ -348,7 +349,7 @@
 	}
 }
 
-// send plays an attempt.
+// send simulates an attempt.
 func (f *fleet) send(node int, send balancer.Send) {
 	request, endpoint := f.requests[send.ID], f.simulated[send.Endpoint-1]
 	ended := balancer.AttemptEnded{ID: send.ID, Attempt: len(request.ended), Endpoint: send.Endpoint}
@@ -373,11 +374,11 @@
 	f.schedule(ended.Elapsed, func() { f.end(request, ended) })
 }
 
-// serve is what an endpoint makes of a request: it works on one at a time, as slowly as it is warm, and rejects those
-// that would have to wait for too long.
+// serve returns the outcome of a request at an endpoint. The endpoint works on one request at a time, at a speed
+// proportional to its warmth, and rejects those for which its queue would get longer than longestQueue.
 func (f *fleet) serve(endpoint *fleetEndpoint) (balancer.Outcome, time.Duration) {
 	const (
-		latency      = 40 * time.Millisecond // of a warm endpoint, beside its queue
+		latency      = 40 * time.Millisecond // of a warm endpoint, without its queue
 		longestQueue = 2 * time.Second
 	)
 	warmth := f.warmth(endpoint, f.now)
@@ -399,7 +400,7 @@
 	return outcome, elapsed
 }
 
-// warmth is the part of its capacity that an endpoint has.
+// warmth returns the fraction of its capacity that an endpoint has at the given time.
 func (f *fleet) warmth(endpoint *fleetEndpoint, at time.Duration) float64 {
 	if endpoint.StartedAt == 0 {
 		return 1
@@ -409,7 +410,7 @@
 	return math.Min(1, least+(1-least)*age/f.settings.SlowStartDuration.Seconds())
 }
 
-// end hands over the outcome of an attempt, once, unless the node has been restarted.
+// end passes the outcome of an attempt to the node, once, unless the node has been restarted.
 func (f *fleet) end(request *fleetRequest, ended balancer.AttemptEnded) {
 	if request.ended[ended.Attempt] {
 		return
@@ -422,20 +423,20 @@
 	}
 }
 
-// slowStartLoad is what an endpoint was sent in a span of OverloadDuration.
+// slowStartLoad compares the requests sent to an endpoint in a span of OverloadDuration with those that are allowed.
 type slowStartLoad struct {
-	budget  float64 // what the settings allow it then
+	budget  float64 // what the settings allow in that span
 	allowed float64 // the budget, with a margin for chance
 	sent    float64
 }
 
 func (l slowStartLoad) excess() float64 { return l.sent - l.allowed }
 
-// worstLoad is the span in which an endpoint got most beyond what is allowed: its budget, and twice the root of that and
-// two more for chance.
+// worstLoad returns the load in the span in which an endpoint's requests most exceeded what is allowed: the budget plus
+// a margin for chance, which is twice the square root of the budget plus two.
 func (f *fleet) worstLoad(endpoint *fleetEndpoint) slowStartLoad {
 	worst := slowStartLoad{allowed: math.Inf(1)}
-	first, notified := 0, 0 // of the span that ends with an arrival
+	first, notified := 0, 0 // index of the span's first arrival, and number of its arrivals from notified nodes
 	for last, arrival := range endpoint.arrivals {
 		if arrival.notified {
 			notified++
@@ -447,7 +448,7 @@
 		}
 		sent := last - first + 1
 		if f.notifiedAfter != nil && notified*3 <= 2*sent {
-			continue // caused by nodes that had not been notified
+			continue // a third or more came from nodes that had not been notified
 		}
 		overload := f.settings.OverloadFactor * f.warmth(endpoint, arrival.at) * f.capacity
 		budget := overload * f.settings.OverloadDuration.Seconds()
--- a/balancer/latency_test.go
+++ b/balancer/latency_test.go
@@ -38,12 +38,12 @@
 		node.recordOutcome(endpoint, attemptAt(node, endpoint), AttemptEnded{Elapsed: latency})
 	}
 	if fast, slow := latencies(6, 7); slow < 2*fast {
-		t.Errorf("expected latency %.3f s on the fast machine type and %.3f s on the slow one, want about three times as much",
+		t.Errorf("expected latency %.3f s on the fast machine type, %.3f s on the slow one, want about three times as much",
 			fast, slow)
 	}
 	node.now += time.Minute
 	if fast, slow := latencies(0, 1); slow < 2*fast {
-		t.Errorf("a minute after the last response: expected latency %.3f s (fast) and %.3f s (slow), want at least twice as much",
+		t.Errorf("a minute after the last response: expected latency %.3f s (fast), %.3f s (slow), want twice as much",
 			fast, slow)
 	}
 }
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// spread returns the part of a tenant's traffic that each of the nodes gets.
+// spread returns, for each of the given number of nodes, the fraction of a tenant's traffic that it gets.
 type spread func(nodes int) []float64
 
-// evenly spreads the traffic evenly.
+// evenly gives each node the same fraction of the traffic.
 func evenly(nodes int) []float64 {
 	parts := make([]float64, nodes)
 	for i := range parts {
@@ -20,7 +20,8 @@
 	return parts
 }
 
-// hot gives every tenth node, or the first, so many times the mean, and the others what is left.
+// hot gives every tenth node, from the first on, the given multiple of the mean, but 70% of the traffic in all at most.
+// The other nodes get the rest.
 func hot(times float64) spread {
 	return func(nodes int) []float64 {
 		parts := evenly(nodes)
@@ -38,7 +39,7 @@
 	}
 }
 
-// onlyOn gives all of the traffic to so many nodes.
+// onlyOn spreads all of the traffic over n nodes.
 func onlyOn(n int) spread {
 	return func(nodes int) []float64 {
 		parts := make([]float64, nodes)
@@ -57,7 +58,8 @@
 	spread  spread
 }
 
-// playQuotas plays so many seconds on a fleet and returns the part of each tenant's requests that are within its quota.
+// playQuotas simulates a fleet for the given seconds and returns the fraction of each tenant's requests that are within
+// its quota.
 func playQuotas(seed int64, nodes int, seconds float64, loads []tenantLoad) []float64 {
 	rng := rand.New(rand.NewSource(seed))
 	settings := Settings{Nodes: nodes, Classes: []Class{{
@@ -107,8 +109,8 @@
 	return within
 }
 
-// withinEvenParts is the part of a tenant's requests within its quota if each node grants an even part of the quota.
-// The tenant offers so many times its quota, of which each node gets its part.
+// withinEvenParts returns the fraction of a tenant's requests that is within its quota if each node grants an even part
+// of the quota. The tenant offers the given multiple of its quota, and each node gets its element of parts of that.
 func withinEvenParts(parts []float64, times float64) float64 {
 	within := 0.0
 	for _, part := range parts {
@@ -117,10 +119,11 @@
 	return within
 }
 
-// Over a fleet, the part of a tenant's requests within its quota is min(1, quota/offered) to within a tenth, for any
-// quota and number of nodes, if the spread is even or the tenant is on one side of its quota at every node. At other
-// spreads a node cannot know better: a tenant at its quota that is hot here looks like one over its quota everywhere.
-// Then the node's even part of the quota must hold.
+// Guards against quotas that do not hold over a fleet. The fraction of a tenant's requests within its quota must be
+// min(1, quota/offered) to within a tenth, for any quota and number of nodes, if the spread is even or the tenant is
+// over its even part of the quota at every node, or at none. At other spreads a node cannot know better: a tenant at
+// its quota that sends most of its traffic to this node looks like one over its quota everywhere. Then the node's even
+// part of the quota must hold.
 func TestQuotasHoldOverTheFleet(t *testing.T) {
 	for _, s := range []struct {
 		name   string
@@ -132,7 +135,7 @@
 		{"on 3 nodes", onlyOn(3)},
 		{"on 1 node", onlyOn(1)},
 	} {
-		t.Logf("%s: within quota/of min(1, quota/offered) at 0.2, 0.5, 1, 2, 5 times the quota", s.name)
+		t.Logf("%s: fraction within quota/min(1, quota/offered), with 0.2, 0.5, 1, 2, 5 times the quota offered", s.name)
 		for _, nodes := range []int{3, 30, 300, 450} {
 			for p, perNode := range []float64{0.01, 1, 10} {
 				quota := perNode * float64(nodes)
@@ -162,13 +165,14 @@
 	t.Log("*: impossible, as the tenant is over an even part at some nodes and under it at others")
 }
 
-// A tenant's traffic keeps its priority however small its quota is beside the number of nodes.
+// Guards against a tenant that loses its priority because its quota is small compared with the number of nodes.
 func TestSmallQuotaHolds(t *testing.T) {
 	const quota = 5 // requests per second
 	for _, nodes := range []int{3, 30, 300, 450} {
 		fourFifths := tenantLoad{quota: quota, offered: 4, spread: evenly}
 		if got := playQuotas(1, nodes, 40*float64(nodes)/quota, []tenantLoad{fourFifths})[0]; got < 0.9 {
-			t.Errorf("%d nodes: %.3f of a tenant below its quota of 5/s is within it", nodes, got)
+			t.Errorf("%d nodes: %.3f of the requests of a tenant below its quota of 5/s are within it, want at least 0.9",
+				nodes, got)
 		}
 		onePerNode := tenantLoad{quota: quota, offered: float64(nodes), spread: evenly}
 		got := playQuotas(1, nodes, 1000, []tenantLoad{onePerNode})[0]
@@ -180,21 +184,21 @@
 	}
 }
 
-// A tenant whose quota is 0 is never within it.
+// Guards against requests that count as within a quota of 0, for example by the tokens that a quota starts with.
 func TestNoQuota(t *testing.T) {
 	if got := playQuotas(1, 3, 100, []tenantLoad{{quota: 0, offered: 3, spread: evenly}})[0]; got != 0 {
-		t.Errorf("%.3f within quota", got)
+		t.Errorf("%.3f of the requests are within a quota of 0, want none", got)
 	}
 }
 
-// overloadedFleet is one of many nodes at endpoints that are all overloaded, each of which serves two requests a second
-// of this node, one at a time.
+// overloadedFleet simulates one of many nodes, whose endpoints are all overloaded: each serves two requests a second of
+// this node, one at a time.
 type overloadedFleet struct {
 	node    *Balancer
 	now     Time
-	freeAt  map[EndpointID]Time // when an endpoint is done with what it has
+	freeAt  map[EndpointID]Time // when an endpoint will have served its queue
 	pending []pendingOutcome    // in order of their sends
-	sent    int                 // requests so far
+	sent    int                 // requests that have arrived so far
 }
 
 type pendingOutcome struct {
@@ -222,7 +226,7 @@
 	return fleet
 }
 
-// deliver hands over the outcomes that are due.
+// deliver passes the outcomes that are due to the node.
 func (f *overloadedFleet) deliver() {
 	for i := 0; i < len(f.pending); i++ {
 		if due := f.pending[i]; due.at <= f.now {
@@ -233,7 +237,7 @@
 	}
 }
 
-// arrive hands over a tenant's request and returns the number of its sends.
+// arrive passes a tenant's request to the node and returns the number of its sends.
 func (f *overloadedFleet) arrive(tenant string) int {
 	const serviceTime, timeout = 500 * time.Millisecond, 2 * time.Second
 	f.sent++
@@ -257,7 +261,8 @@
 	return len(endpoints)
 }
 
-// If every endpoint is overloaded, a tenant within a quota far smaller than the fleet is served before one over it.
+// Guards against serving a tenant that is over its quota before one that is within it, where every endpoint is
+// overloaded and the quota is small compared with the number of nodes.
 func TestTenantWithinQuotaIsServedFirst(t *testing.T) {
 	const (
 		within   = "within"
@@ -296,7 +301,8 @@
 	withinPart, overPart := sent[within]/arrived[within], sent[over]/arrived[over]
 	t.Logf("sent: %.2f of the tenant within its quota, %.2f of the one over it", withinPart, overPart)
 	if withinPart < 0.8 || overPart > 0.7 || withinPart < overPart+0.2 {
-		t.Errorf("sent: %.2f of the tenant within its quota, %.2f of the one over it", withinPart, overPart)
+		t.Errorf("sent: %.2f of the tenant within its quota, want 0.8 or more; %.2f of the one over it, want 0.7 or less and 0.2 less",
+			withinPart, overPart)
 	}
 }
 
--- a/balancer/slowstart_behaviour_test.go
+++ b/balancer/slowstart_behaviour_test.go
@@ -7,8 +7,9 @@
 	"bankshift/balancer"
 )
 
-// A zone is lost together with the nodes there: its endpoints fall silent, this node gets twice the traffic, discovery
-// removes them late, and they are back as new processes. The rest is not overloaded, and those that are back warm up.
+// Guards against overloading the other endpoints when a zone is lost, and the zone's endpoints when they come back. The
+// zone is lost together with the nodes there: its endpoints stop responding, this node gets twice the traffic,
+// discovery removes the endpoints late, and they come back as new processes that must warm up.
 func TestZoneLostWithItsNodesWarmsUpAfterwards(t *testing.T) {
 	settings := harnessSettings()
 	settings.Nodes = 2
@@ -23,7 +24,8 @@
 	toLost := h.sentTo(lost)
 	toRest := h.totalSent() - toLost
 	if toLost > 60 || toRest < 300 || h.failed > 0 {
-		t.Errorf("zone lost: %d sends into it, %d to the rest, %d failed", toLost, toRest, h.failed)
+		t.Errorf("zone lost: %d sends into it, %d to the rest, %d failed; want at most 60, at least 300, none",
+			toLost, toRest, h.failed)
 	}
 
 	removed := balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate}
@@ -38,7 +40,7 @@
 	h.run(2*time.Second, 120, "ordinary")
 	for id := range h.sent {
 		if lost(id) {
-			t.Errorf("sent to %d, which was removed", id)
+			t.Errorf("sent to endpoint %d, which was removed", id)
 		}
 	}
 
@@ -47,21 +49,21 @@
 	h.resetCounts()
 	h.run(time.Second, 120, "ordinary")
 	for id, n := range h.sent {
-		// A warm endpoint serves 30/s for this node, which is one of two.
+		// This node is one of two. A warm endpoint serves 30/s for it.
 		if budget := 2.5 * 0.3 * 30; lost(id) && float64(n) > budget/2+2 {
-			t.Errorf("endpoint %d, which warms up, got %d in its first second", id, n)
+			t.Errorf("endpoint %d, which warms up, got %d requests in its first second", id, n)
 		}
 	}
 	h.run(9*time.Second, 60, "ordinary")
 	h.resetCounts()
 	h.run(5*time.Second, 60, "ordinary")
 	if n := h.sentTo(lost); n < 90 || h.rejected > 0 {
-		t.Errorf("once warm: %d of 300 sends to the zone, %d rejected", n, h.rejected)
+		t.Errorf("once warm: %d of 300 sends to the zone, %d rejected; want at least 90, none", n, h.rejected)
 	}
 }
 
-// An endpoint that warms up and responds well gets work as fast as the overload factor allows, not only as fast as the
-// duration of the slow start says.
+// Guards against limiting an endpoint that warms up by the duration of the slow start alone: one that responds well
+// must get work as fast as the overload factor allows.
 func TestSlowStartGrowsWithResponses(t *testing.T) {
 	sentWith := func(overloadFactor float64) int {
 		settings := harnessSettings()
@@ -77,6 +79,6 @@
 		return h.sent[2]
 	}
 	if low, high := sentWith(1), sentWith(4); high*2 < low*3 {
-		t.Errorf("%d sends in 2 s with overload factor 1, %d with 4", low, high)
+		t.Errorf("%d sends in 2 s with overload factor 1, %d with 4, want at least 1.5 times as many", low, high)
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// newNodeWithStartedEndpoint returns a node with endpoint 1 in its subset, which has just started and gets no warmer.
+// newNodeWithStartedEndpoint returns a node with endpoint 1 in its subset. The endpoint has just started, and its slow
+// start takes so long that its warmth stays at the minimum.
 func newNodeWithStartedEndpoint(index int) *Balancer {
 	node := newNode(index, 360, 60)
 	node.learned = true
@@ -23,17 +24,17 @@
 	return node
 }
 
-// If thirty nodes had a whole send each for an endpoint that has just started, the burst would push it over; the same
-// holds later, after a quiet time. Each has its turn, and what they hold at any time is no more than they are given in a
-// second.
+// Guards against a burst that overloads an endpoint that has just started, which thirty nodes could send if each had a
+// whole token at once, at the start or after a quiet time. Each node must have a token at some time, but the nodes that
+// have one at any time must be no more than the tokens that all nodes get in a second, but for chance.
 func TestSlowStartBudgetsOfManyNodes(t *testing.T) {
 	const nodes, stepsPerSecond, seconds = 36, 100, 90
 	var fleet []*Balancer
 	for index := range nodes {
 		fleet = append(fleet, newNodeWithStartedEndpoint(index))
 	}
-	held := make([]int, seconds*stepsPerSecond) // nodes that may send, at each step
-	turns := make([]int, nodes)
+	held := make([]int, seconds*stepsPerSecond) // number of nodes that may send, at each step
+	turns := make([]int, nodes)                 // number of steps in which a node may send
 	for step := range held {
 		for index, node := range fleet {
 			endpoint := node.endpointsByID[1]
@@ -45,7 +46,7 @@
 				turns[index]++
 			}
 			if endpoint.slowStartBudget.tokens >= 2 {
-				t.Fatalf("node %d saved up %v sends", index, endpoint.slowStartBudget.tokens)
+				t.Fatalf("node %d saved up %v tokens, want less than 2", index, endpoint.slowStartBudget.tokens)
 			}
 		}
 	}
@@ -58,18 +59,19 @@
 	}
 	most := slices.Max(held)
 	if held[0] > 4 || mean > 1.1*given+1 || most > int(given+3*math.Sqrt(given)+1) {
-		t.Errorf("%d may send at the start, %.1f on average, %d at most; they are given %.1f a second",
+		t.Errorf("%d nodes may send at the start, %.1f on average, %d at most; together they get %.1f tokens per second",
 			held[0], mean, most, given)
 	}
 	for index, n := range turns {
 		if n == 0 {
-			t.Errorf("node %d has no turn in %d s", index, seconds)
+			t.Errorf("node %d may not send at any time in %d s", index, seconds)
 		}
 	}
 }
 
-// If most endpoints are ejected (idle connections dropped, slow handshakes), the subsets of all nodes widen to the few
-// that are not, those just restarted first: together the nodes would push such an endpoint over.
+// Guards against overloading an endpoint that has just restarted while most others are ejected (idle connections
+// dropped, slow handshakes). The subsets of all nodes then widen to the few that are not ejected, the just restarted
+// ones first, and all nodes together would send more than such an endpoint can serve.
 func TestWarmingUpEndpointIsLeftToItsOwnNodes(t *testing.T) {
 	const nodes = 360
 	senders := 0
--- a/balancer/tokenbucket_test.go
+++ b/balancer/tokenbucket_test.go
@@ -17,7 +17,7 @@
 		{"no time", 1, 0, 1},
 		{"half a second", 1, 500 * time.Millisecond, 2},
 		{"up to the burst", 1, time.Minute, burst},
-		{"out of debt", -3, time.Second, -1},
+		{"below zero", -3, time.Second, -1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			bucket := tokenBucket{tokens: c.tokens, refilledAt: time.Hour}
@@ -43,7 +43,7 @@
 		{"the next whole token replaces it", 0.75, 0.25, 5 * time.Second, 1},
 		{"however many lifetimes have passed", 0.5, 0.25, 60 * time.Second, 0.5},
 		{"a lifetime that brings a token: up to the burst", 0.5, 2, time.Minute, 1.5},
-		{"out of debt", -2, 0.25, 4 * time.Second, -1},
+		{"below zero", -2, 0.25, 4 * time.Second, -1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			const burst, lifetime = 1.5, time.Second
@@ -70,11 +70,12 @@
 		{"up to the burst", func() { bucket.deposit(0.75, 2) }, 2, true},
 		{"exactly one is left", bucket.take, 1, true},
 		{"none is left", bucket.take, 0, false},
-		{"into debt", bucket.take, -1, false},
+		{"taken although none is left", bucket.take, -1, false},
 	} {
 		c.do()
 		if bucket.tokens != c.tokens || bucket.available() != c.available {
-			t.Errorf("%s: %v tokens, available %v; want %v, %v", c.step, bucket.tokens, bucket.available(), c.tokens, c.available)
+			t.Errorf("%s: %v tokens, available %v; want %v, %v",
+				c.step, bucket.tokens, bucket.available(), c.tokens, c.available)
 		}
 	}
 }
