--- a/balancer/fleet_slowstart_test.go
+++ b/balancer/fleet_slowstart_test.go
@@ -42,7 +42,7 @@
 	{name: "a third new, all restarted", starting: -3, restartNodes: true, down: -1},
 	{name: "three times the load", load: loadFrom(0, 0, 3)},
 	{name: "quiet 3 s, then four times", load: loadFrom(0.3, 3*time.Second, 4)},
-	{name: "utilization 0.35, then twice the load", utilization: 0.35, load: loadFrom(0, 2*time.Second, 2)},
+	{name: "utilization 0.35, idle 2 s, then twice the load", utilization: 0.35, load: loadFrom(0, 2*time.Second, 2)},
 	{name: "one response in five fails", failureShare: 0.2, uneven: true},
 	{name: "quiet 3 s, then six times", load: loadFrom(0.3, 3*time.Second, 6)},
 	{name: "idle 4 s, then eight times", load: loadFrom(0, 4*time.Second, 8), duration: 8 * time.Second},
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -301,7 +301,7 @@
 	withinPart, overPart := sent[within]/arrived[within], sent[over]/arrived[over]
 	t.Logf("sent: %.2f of the tenant within its quota, %.2f of the one over it", withinPart, overPart)
 	if withinPart < 0.8 || overPart > 0.7 || withinPart < overPart+0.2 {
-		t.Errorf("sent: %.2f of the tenant within its quota, want 0.8 or more; %.2f of the one over it, want 0.7 or less and 0.2 less",
+		t.Errorf("sent: %.2f of the tenant within its quota, want 0.8 or more; %.2f of that over it, want 0.7 or less and 0.2 less",
 			withinPart, overPart)
 	}
 }
