--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -97,8 +97,8 @@
 // is always false if no request has found all endpoints overloaded or blocked within the last shedPeriod.
 func (b *Balancer) expectedTooLate(request *request) bool {
 	class := request.class
-	crowdedLately := b.now < class.placement.noneNormalAt+shedPeriod
-	return crowdedLately && b.pastObjective(request, b.latency.mean*class.relativeWork)
+	recentlyOverloaded := b.now < class.placement.noneNormalAt+shedPeriod
+	return recentlyOverloaded && b.pastObjective(request, b.latency.mean*class.relativeWork)
 }
 
 // sheds decides whether a new request is dropped because all endpoints are overloaded.
--- a/balancer/fleet_slowstart_test.go
+++ b/balancer/fleet_slowstart_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// loadFrom returns a load, as a multiple of the traffic before the start, that is before until the time then and after
+// loadStep returns a load, as a multiple of the traffic before the start, that is before until the time then and after
 // from that time on.
-func loadFrom(before float64, then time.Duration, after float64) func(time.Duration) float64 {
+func loadStep(before float64, then time.Duration, after float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at < then {
 			return before
@@ -19,8 +19,8 @@
 	}
 }
 
-// within returns a function that draws a uniformly distributed time up to longest.
-func within(longest time.Duration) func(rng *rand.Rand) time.Duration {
+// uniformUpTo returns a function that draws a uniformly distributed time up to longest.
+func uniformUpTo(longest time.Duration) func(rng *rand.Rand) time.Duration {
 	return func(rng *rand.Rand) time.Duration { return time.Duration(rng.Float64() * float64(longest)) }
 }
 
@@ -31,25 +31,25 @@
 // endpoints stands for one endpoint in -n.
 var slowStartCases = []fleetCase{
 	{name: "burst at once"},
-	{name: "idle 2 s, then a burst", load: loadFrom(0, 2*time.Second, 1.5)},
+	{name: "idle 2 s, then a burst", load: loadStep(0, 2*time.Second, 1.5)},
 	{name: "all restarted together", restartNodes: true},
-	{name: "notified within 4 s", notifiedAfter: within(4 * time.Second)},
+	{name: "notified within 4 s", notifiedAfter: uniformUpTo(4 * time.Second)},
 	{name: "uneven nodes", uneven: true},
 	{name: "three new in one subset", starting: 3, down: -1},
 	{name: "unannounced, after 3 s", down: 3 * time.Second, notifiedAfter: never},
-	{name: "notified during trials, after 3 s", down: 3 * time.Second, uneven: true, notifiedAfter: within(3 * time.Second)},
+	{name: "notified during trials, after 3 s", down: 3 * time.Second, uneven: true, notifiedAfter: uniformUpTo(3 * time.Second)},
 	{name: "a third back after 5 s", starting: -3, down: 5 * time.Second},
 	{name: "a third new, all restarted", starting: -3, restartNodes: true, down: -1},
-	{name: "three times the load", load: loadFrom(0, 0, 3)},
-	{name: "quiet 3 s, then four times", load: loadFrom(0.3, 3*time.Second, 4)},
-	{name: "utilization 0.35, idle 2 s, then twice the load", utilization: 0.35, load: loadFrom(0, 2*time.Second, 2)},
+	{name: "three times the load", load: loadStep(0, 0, 3)},
+	{name: "quiet 3 s, then four times", load: loadStep(0.3, 3*time.Second, 4)},
+	{name: "utilization 0.35, idle 2 s, then twice the load", utilization: 0.35, load: loadStep(0, 2*time.Second, 2)},
 	{name: "one response in five fails", failureShare: 0.2, uneven: true},
-	{name: "quiet 3 s, then six times", load: loadFrom(0.3, 3*time.Second, 6)},
-	{name: "idle 4 s, then eight times", load: loadFrom(0, 4*time.Second, 8), duration: 8 * time.Second},
-	{name: "utilization 0.2, quiet, then eight times", utilization: 0.2, load: loadFrom(0.2, 2*time.Second, 8), uneven: true},
-	{name: "a quarter new, idle 2 s, then eight times", starting: -4, down: -1, load: loadFrom(0, 2*time.Second, 8)},
+	{name: "quiet 3 s, then six times", load: loadStep(0.3, 3*time.Second, 6)},
+	{name: "idle 4 s, then eight times", load: loadStep(0, 4*time.Second, 8), duration: 8 * time.Second},
+	{name: "utilization 0.2, quiet, then eight times", utilization: 0.2, load: loadStep(0.2, 2*time.Second, 8), uneven: true},
+	{name: "a quarter new, idle 2 s, then eight times", starting: -4, down: -1, load: loadStep(0, 2*time.Second, 8)},
 	{name: "clocks an hour ahead", clocksAhead: time.Hour},
-	{name: "clocks an hour ahead, three new", clocksAhead: time.Hour, starting: 3, down: -1, notifiedAfter: within(2 * time.Second)},
+	{name: "clocks an hour ahead, three new", clocksAhead: time.Hour, starting: 3, down: -1, notifiedAfter: uniformUpTo(2 * time.Second)},
 	{name: "clocks five seconds ahead", clocksAhead: 5 * time.Second, uneven: true},
 	{name: "clocks an hour behind, all restarted", clocksAhead: -time.Hour, restartNodes: true},
 	{name: "dated before its last start", clocksAhead: time.Hour, startedBefore: 10 * time.Minute},
@@ -61,11 +61,11 @@
 func TestSlowStartOfTheFleet(t *testing.T) {
 	sizes := []struct{ nodes, endpoints int }{{5, 12}, {10, 12}, {20, 12}, {30, 12}, {300, 12}, {1, 12}, {2, 40}}
 	rates := []float64{3, 10, 30}
-	for i, scene := range slowStartCases {
-		t.Run(scene.name, func(t *testing.T) {
+	for i, base := range slowStartCases {
+		t.Run(base.name, func(t *testing.T) {
 			t.Parallel()
 			for j, size := range sizes {
-				c := scene
+				c := base
 				c.nodes = size.nodes
 				c.endpoints = size.endpoints
 				c.rate = rates[(i+j)%len(rates)]
@@ -89,7 +89,7 @@
 // checkSlowStart simulates a case and fails if an endpoint that starts got more than is allowed.
 func checkSlowStart(t *testing.T, c fleetCase, seed int64) {
 	t.Helper()
-	f := playFleet(c, seed)
+	f := simulateFleet(c, seed)
 	worst := slowStartLoad{allowed: math.Inf(1)}
 	for _, endpoint := range f.startingEndpoints() {
 		if load := f.worstLoad(endpoint); load.excess() > worst.excess() {
@@ -118,25 +118,25 @@
 // OverloadDuration, each of tens of nodes has had time to save up one for it, and a burst of traffic begins at all
 // nodes at once.
 func TestSlowStartAfterAQuietTime(t *testing.T) {
-	broken, endpoints := 0, 0
+	violations, endpoints := 0, 0
 	for _, nodes := range []int{10, 20, 30, 100} {
 		for _, quiet := range []float64{0, 0.3} {
 			for seed := range int64(8) {
-				f := playFleet(fleetCase{
+				f := simulateFleet(fleetCase{
 					nodes:     nodes,
 					endpoints: 12,
 					rate:      1,
 					starting:  3,
 					down:      -1,
 					instant:   true,
-					load:      loadFrom(quiet, 3*time.Second, 8),
+					load:      loadStep(quiet, 3*time.Second, 8),
 					duration:  6 * time.Second,
 				}, seed+1)
 				for _, endpoint := range f.startingEndpoints() {
 					endpoints++
 					load := f.worstLoad(endpoint)
 					if allowed := allowedLoad(load.budget); load.sent > allowed {
-						broken++
+						violations++
 						t.Errorf("%d nodes, quiet %v, seed %d: budget %.1f, allowed %.1f, sent %.0f",
 							nodes, quiet, seed+1, load.budget, allowed, load.sent)
 					}
@@ -144,7 +144,7 @@
 			}
 		}
 	}
-	t.Logf("%d of %d endpoints got more than is allowed", broken, endpoints)
+	t.Logf("%d of %d endpoints got more than is allowed", violations, endpoints)
 }
 
 // Guards against starving an endpoint that warms up: where warmth comes with work, one that gets nothing never warms
@@ -160,14 +160,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			const seeds = 3
-			c.load = loadFrom(0, 0, 1)
+			c.load = loadStep(0, 0, 1)
 			c.duration = 10 * time.Second
-			var got, able [2]float64 // requests received and servable: in the first 5 s, and in all
+			var got, servable [2]float64 // requests received and servable: in the first 5 s, and in all
 			for seed := range int64(seeds) {
-				f := playFleet(c, seed+1)
+				f := simulateFleet(c, seed+1)
 				endpoint := f.simulated[0]
 				for i, span := range []time.Duration{5 * time.Second, 10 * time.Second} {
-					able[i] += f.capacity * span.Seconds() * f.warmth(endpoint, f.start+span/2) / seeds
+					servable[i] += f.capacity * span.Seconds() * f.warmth(endpoint, f.start+span/2) / seeds
 					for _, arrival := range endpoint.arrivals {
 						if arrival.at < f.start+span {
 							got[i] += 1.0 / seeds
@@ -176,8 +176,8 @@
 				}
 			}
 			t.Logf("the endpoint got %.0f requests in 5 s and %.0f in 10 s; it can serve %.0f and %.0f",
-				got[0], got[1], able[0], able[1])
-			if got[0] < 0.3*able[0] || got[1] < 0.4*able[1] {
+				got[0], got[1], servable[0], servable[1])
+			if got[0] < 0.3*servable[0] || got[1] < 0.4*servable[1] {
 				t.Errorf("the endpoint is starved: want at least 0.3 of what it can serve in 5 s and 0.4 in 10 s")
 			}
 		})
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -105,8 +105,8 @@
 	return last
 }
 
-// playFleet simulates a case and returns the fleet in its final state.
-func playFleet(c fleetCase, seed int64) *fleet {
+// simulateFleet runs a case and returns the fleet in its final state.
+func simulateFleet(c fleetCase, seed int64) *fleet {
 	const learning = 4 * time.Second // simulated before the start, so that the nodes learn
 	if c.utilization == 0 {
 		c.utilization = 0.7
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -11,7 +11,7 @@
 	machineTypeGain         = 0.006 // in a machine type's long average, whose minimum is kept: chance must be small
 	endpointLatencyGain     = 0.1   // in an endpoint's latency and in the endpoints' concurrency
 	throughputTau           = 3.0   // s; time constant with which observations of an endpoint lose their weight
-	memoryTau               = 600.0 // s; time constant of peak throughput and unloaded latency; longer than overloads last
+	extremesTau             = 600.0 // s; time constant of peak throughput and unloaded latency; longer than overloads last
 	latencyNoise            = 0.15  // fraction by which an average may be below its true value by chance alone
 	minResponses            = 2.0   // responses per endpoint of the subsets, on average, after which a node has learned
 	machineTypeMinResponses = 50.0  // responses of a machine type after which its unloaded latency is used
@@ -129,7 +129,7 @@
 
 // refreshExtremes updates the peak throughput and the unloaded latencies, which are forgotten slowly.
 func (b *Balancer) refreshExtremes() {
-	growth := 1 + tickInterval.Seconds()/memoryTau
+	growth := 1 + tickInterval.Seconds()/extremesTau
 	b.peakThroughput = math.Max(b.peakThroughput/growth, b.meanThroughput)
 	for _, machine := range b.machineTypes {
 		machine.uncrowdedLatency *= growth
--- a/balancer/latency_test.go
+++ b/balancer/latency_test.go
@@ -8,7 +8,7 @@
 // Guards against estimating an endpoint that has not responded for a while by the fleet's mean latency, by which a slow
 // machine would look as good as a fast one. One of many nodes has too few responses from a single endpoint to know its
 // latency, but many from its machine type.
-func TestUnknownEndpointIsExpectedToBeLikeItsMachineType(t *testing.T) {
+func TestUnknownEndpointUsesMachineTypeLatency(t *testing.T) {
 	settings := Settings{
 		Nodes:        80,
 		MachineTypes: []string{"fast", "slow"},
--- a/balancer/objective_test.go
+++ b/balancer/objective_test.go
@@ -76,7 +76,7 @@
 
 // Guards against an endpoint that attracts requests by failing fast: a failure must count as a slow response, also if
 // the class has no objective.
-func TestFastFailureIsSlowWithoutObjective(t *testing.T) {
+func TestFastFailureCountsAsSlowWithoutObjective(t *testing.T) {
 	for name, class := range classesWithoutObjective {
 		node := newNodeWithoutObjective(class)
 		node.Handle(node.now, RequestArrived{ID: "q", Class: "page", Timeout: patience})
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -14,7 +14,7 @@
 	timeoutRest         = 3 * time.Second // the same after a request timed out: the queue needs seconds to drain
 	objectiveShare      = 0.4             // fraction of an objective that the mean latency may take: tails are long
 	queueFactor         = 1.3             // multiple of the unloaded latency that H allows: queues slow endpoints down
-	queueShare          = 1.5             // plus this / nodesPerEndpoint, as own counts of one among many nodes say less
+	extraQueueFactor    = 1.5             // plus this / nodesPerEndpoint, as own counts of one among many nodes say less
 	maxObjectiveStretch = 3.0             // maximum factor by which H grows while the latency is below the allowed one
 	lowRatio            = 0.75            // L as a fraction of H
 	blockRatio          = 1.2             // R as a multiple of H: retries of rejected clients soon fill any room above H
@@ -100,7 +100,7 @@
 	if machine := endpoint.machineType; machine.uncrowdedLatency > 0 {
 		uncrowded, present = machine.uncrowdedLatency, machine.latency.mean
 	}
-	allowed := math.Min((queueFactor+queueShare/b.nodesPerEndpoint)*uncrowded, objectiveShare*b.tightestObjective)
+	allowed := math.Min((queueFactor+extraQueueFactor/b.nodesPerEndpoint)*uncrowded, objectiveShare*b.tightestObjective)
 	busy := uncrowded * b.peakThroughput / b.meanThroughput
 	high := rate * math.Max(busy, allowed*math.Min(maxObjectiveStretch, allowed/present))
 	return math.Max(high, minThreshold/b.nodesPerEndpoint)
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -149,7 +149,7 @@
 
 // Guards against endpoints that get no requests at all where H is below one: if the rounding of H did not change over
 // time, H would stay 0 for some of them.
-func TestRoundingOfHMovesOn(t *testing.T) {
+func TestRoundingOfHChangesOverTime(t *testing.T) {
 	node := newNode(0, 5, 15)
 	node.learned = true
 	node.latency.mean = 0.1
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -58,9 +58,9 @@
 	spread  spread
 }
 
-// playQuotas simulates a fleet for the given seconds and returns the fraction of each tenant's requests that are within
+// simulateQuotas runs a fleet for the given seconds and returns the fraction of each tenant's requests that are within
 // its quota.
-func playQuotas(seed int64, nodes int, seconds float64, loads []tenantLoad) []float64 {
+func simulateQuotas(seed int64, nodes int, seconds float64, loads []tenantLoad) []float64 {
 	rng := rand.New(rand.NewSource(seed))
 	settings := Settings{Nodes: nodes, Classes: []Class{{
 		Name:             "c",
@@ -143,7 +143,7 @@
 				for i, times := range []float64{0.2, 0.5, 1, 2, 5} {
 					tokens := math.Max(40, 1500/float64(nodes))
 					load := tenantLoad{quota: quota, offered: times * quota, spread: s.spread}
-					got := playQuotas(int64(10*p+i), nodes, tokens/perNode, []tenantLoad{load})[0]
+					got := simulateQuotas(int64(10*p+i), nodes, tokens/perNode, []tenantLoad{load})[0]
 					want := math.Min(1, 1/times)
 					possible := withinEvenParts(s.spread(nodes), times)
 					line += fmt.Sprintf("  %.2f/%.2f", got, want)
@@ -170,12 +170,12 @@
 	const quota = 5 // requests per second
 	for _, nodes := range []int{3, 30, 300, 450} {
 		fourFifths := tenantLoad{quota: quota, offered: 4, spread: evenly}
-		if got := playQuotas(1, nodes, 40*float64(nodes)/quota, []tenantLoad{fourFifths})[0]; got < 0.9 {
+		if got := simulateQuotas(1, nodes, 40*float64(nodes)/quota, []tenantLoad{fourFifths})[0]; got < 0.9 {
 			t.Errorf("%d nodes: %.3f of the requests of a tenant below its quota of 5/s are within it, want at least 0.9",
 				nodes, got)
 		}
 		onePerNode := tenantLoad{quota: quota, offered: float64(nodes), spread: evenly}
-		got := playQuotas(1, nodes, 1000, []tenantLoad{onePerNode})[0]
+		got := simulateQuotas(1, nodes, 1000, []tenantLoad{onePerNode})[0]
 		want := math.Min(1, quota/float64(nodes))
 		t.Logf("%d nodes, quota 5/s, 1/s at each: %.3f within it, want %.3f", nodes, got, want)
 		if math.Abs(got-want) > 0.1 || got == 0 {
@@ -185,8 +185,8 @@
 }
 
 // Guards against requests that count as within a quota of 0, for example by the tokens that a quota starts with.
-func TestNoQuota(t *testing.T) {
-	if got := playQuotas(1, 3, 100, []tenantLoad{{quota: 0, offered: 3, spread: evenly}})[0]; got != 0 {
+func TestZeroQuota(t *testing.T) {
+	if got := simulateQuotas(1, 3, 100, []tenantLoad{{quota: 0, offered: 3, spread: evenly}})[0]; got != 0 {
 		t.Errorf("%.3f of the requests are within a quota of 0, want none", got)
 	}
 }
@@ -194,11 +194,11 @@
 // overloadedFleet simulates one of many nodes, whose endpoints are all overloaded: each serves two requests a second of
 // this node, one at a time.
 type overloadedFleet struct {
-	node    *Balancer
-	now     Time
-	freeAt  map[EndpointID]Time // when an endpoint will have served its queue
-	pending []pendingOutcome    // in order of their sends
-	sent    int                 // requests that have arrived so far
+	node     *Balancer
+	now      Time
+	freeAt   map[EndpointID]Time // when an endpoint will have served its queue
+	pending  []pendingOutcome    // in order of their sends
+	arrivals int                 // requests that have arrived so far
 }
 
 type pendingOutcome struct {
@@ -240,8 +240,8 @@
 // arrive passes a tenant's request to the node and returns the number of its sends.
 func (f *overloadedFleet) arrive(tenant string) int {
 	const serviceTime, timeout = 500 * time.Millisecond, 2 * time.Second
-	f.sent++
-	id := RequestID(fmt.Sprint(f.sent))
+	f.arrivals++
+	id := RequestID(fmt.Sprint(f.arrivals))
 	endpoints := sends(f.node.Handle(f.now, RequestArrived{ID: id, Class: "c", Tenant: tenant, Timeout: timeout}))
 	for _, endpoint := range endpoints {
 		f.freeAt[endpoint] = max(f.freeAt[endpoint], f.now) + serviceTime
@@ -301,13 +301,13 @@
 	withinPart, overPart := sent[within]/arrived[within], sent[over]/arrived[over]
 	t.Logf("sent: %.2f of the tenant within its quota, %.2f of the one over it", withinPart, overPart)
 	if withinPart < 0.8 || overPart > 0.7 || withinPart < overPart+0.2 {
-		t.Errorf("sent: %.2f of the tenant within its quota, want 0.8 or more; %.2f of that over it, want 0.7 or less and 0.2 less",
+		t.Errorf("sent: %.2f of the tenant within quota, want at least 0.8; %.2f of the other, want at most 0.7 and 0.2 less",
 			withinPart, overPart)
 	}
 }
 
-// BenchmarkShares measures one decision on a quota, with 20,000 tenants.
-func BenchmarkShares(b *testing.B) {
+// BenchmarkQuotaTake measures one decision on a quota, with 20,000 tenants.
+func BenchmarkQuotaTake(b *testing.B) {
 	const tenants = 20000
 	settings := Settings{Nodes: 450}
 	for i := range tenants {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -9,8 +9,8 @@
 	minSlowStartRate = 4.0 // requests per second from all nodes: least rate assumed for an endpoint at full capacity
 	slowStartGrowth  = 0.5 // fraction of OverloadFactor by which the present capacity is multiplied to get the send rate
 
-	maxClockStep       = time.Hour // largest step of a wall clock that is assumed
-	unknownStartGrowth = 0.5       // most warmth gained before an update announces a start, as a fraction of the least
+	maxClockStep         = time.Hour // largest step of a wall clock that is assumed
+	maxUnannouncedGrowth = 0.5       // most warmth gained before an update announces a start, as a fraction of the least
 )
 
 // slowStartState is the slow start of an endpoint: until it has warmed up, a token bucket limits what is sent to it.
@@ -60,10 +60,10 @@
 }
 
 // maxUnannouncedAge is the time in which the warmth of an endpoint grows from its least value by the fraction
-// unknownStartGrowth of it.
+// maxUnannouncedGrowth of it.
 func (b *Balancer) maxUnannouncedAge() time.Duration {
 	least := b.settings.SlowStartCapacity
-	part := unknownStartGrowth * least / math.Max(1-least, 1e-9)
+	part := maxUnannouncedGrowth * least / math.Max(1-least, 1e-9)
 	return time.Duration(math.Min(1, part) * float64(b.settings.SlowStartDuration))
 }
 
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -39,7 +39,7 @@
 // placementFor returns the placement that allows these zones and machine types, and adds it if there is none.
 func (b *Balancer) placementFor(zones, machineTypes []string) *placement {
 	for _, placement := range b.placements {
-		if sameRule(placement.zones, zones) && sameRule(placement.machineTypes, machineTypes) {
+		if sameAllowList(placement.zones, zones) && sameAllowList(placement.machineTypes, machineTypes) {
 			return placement
 		}
 	}
@@ -48,9 +48,9 @@
 	return added
 }
 
-// sameRule reports whether two allow lists are equal. A nil list, which allows everything, differs from an empty one,
-// which allows nothing.
-func sameRule(a, b []string) bool { return (a == nil) == (b == nil) && slices.Equal(a, b) }
+// sameAllowList reports whether two allow lists are equal. A nil list, which allows everything, differs from an empty
+// one, which allows nothing.
+func sameAllowList(a, b []string) bool { return (a == nil) == (b == nil) && slices.Equal(a, b) }
 
 // subsetOrder is the number of the endpoint order that this node uses, from 0 to subsetOrders-1.
 func (b *Balancer) subsetOrder() int { return b.settings.NodeIndex % subsetOrders }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -37,7 +37,7 @@
 
 // Guards against subsets so large that a node learns of an endpoint's overload too late: of about 30 responses a second
 // from an endpoint, the node must see some within throughputTau. It must still have enough endpoints to choose from.
-func TestSubsetsLeaveResponsesToLearnFrom(t *testing.T) {
+func TestSubsetsAreSmallEnoughToLearn(t *testing.T) {
 	for _, size := range []struct{ nodes, endpoints int }{{80, 60}, {80, 40}, {120, 60}, {40, 30}} {
 		subset := float64(len(subsetOf(newNode(1, size.nodes, size.endpoints))))
 		seen := 30 * float64(size.endpoints) / float64(size.nodes) / subset * throughputTau
