--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -81,8 +81,8 @@
 	return !b.expectedTooLate(request) && !b.sheds(request, mode)
 }
 
-// admitsRetry is admits for a request that has had an attempt. If that attempt may have run, the retry budget must
-// allow another; if no endpoint is normal, the request needs priority.
+// admitsRetry is admits for a request that has had attempts. The request must not be past its objective. If its last
+// attempt may have run, the retry budget must allow another; if no endpoint is normal, the request needs priority.
 func (b *Balancer) admitsRetry(request *request, mode Mode) bool {
 	if b.pastObjective(request, 0) {
 		return false
@@ -94,7 +94,7 @@
 }
 
 // expectedTooLate reports whether a response after the usual latency would be past the objective and have no value. It
-// is always false if no request has found all endpoints overloaded or blocked within the last shedPeriod.
+// is false unless a request has found no normal endpoint within the last shedPeriod.
 func (b *Balancer) expectedTooLate(request *request) bool {
 	class := request.class
 	recentlyOverloaded := b.now < class.placement.noneNormalAt+shedPeriod
--- a/balancer/fleet_slowstart_test.go
+++ b/balancer/fleet_slowstart_test.go
@@ -147,7 +147,7 @@
 	t.Logf("%d of %d endpoints got more than is allowed", violations, endpoints)
 }
 
-// Guards against starving an endpoint that warms up: where warmth comes with work, one that gets nothing never warms
+// Guards against starving an endpoint that warms up: where capacity grows with work, one that gets nothing never warms
 // up. It must get a good part of what it can serve by then, whether its nodes see much traffic or little.
 func TestEndpointsWarmUp(t *testing.T) {
 	for _, c := range []fleetCase{
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -48,7 +48,7 @@
 	queue fleetQueue
 	order int // order number of the last event that was scheduled
 
-	simulated []*fleetEndpoint // by ID, from 1 on
+	simulated []*fleetEndpoint // the endpoint with ID n has index n-1
 	members   []fleetNode
 	requests  map[balancer.RequestID]*fleetRequest
 	lastID    int // ID of the last request
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -13,8 +13,8 @@
 	modeValidity        = time.Second     // how long an imposed mode lasts; the paper's oc-validity
 	timeoutRest         = 3 * time.Second // the same after a request timed out: the queue needs seconds to drain
 	objectiveShare      = 0.4             // fraction of an objective that the mean latency may take: tails are long
-	queueFactor         = 1.3             // multiple of the unloaded latency that H allows: queues slow endpoints down
-	extraQueueFactor    = 1.5             // plus this / nodesPerEndpoint, as own counts of one among many nodes say less
+	queueFactor         = 1.3             // multiple of unloaded latency that H allows: long queues slow endpoints down
+	extraQueueFactor    = 1.5             // plus this / nodesPerEndpoint: the more nodes, the less a node's own counts say
 	maxObjectiveStretch = 3.0             // maximum factor by which H grows while the latency is below the allowed one
 	lowRatio            = 0.75            // L as a fraction of H
 	blockRatio          = 1.2             // R as a multiple of H: retries of rejected clients soon fill any room above H
@@ -23,7 +23,7 @@
 	aggregateBelow      = 0.33            // a subset whose mean H is below this is evaluated as an aggregate
 	aggregateSamples    = 10.0            // the aggregate's count is smoothed over the time of this many responses
 	aggregateDeviations = 3.0             // multiple of sqrt(H) by which the aggregate's count may exceed H for a moment
-	minThreshold        = 2.0             // minimum of H, summed over the nodes of an endpoint; doubled until learned
+	minThreshold        = 2.0             // minimum of H summed over an endpoint's nodes; twice that until a node learns
 	fleetShare          = 0.3             // weight of the mean throughput in H, so that chance does not starve an endpoint
 )
 
@@ -79,10 +79,11 @@
 }
 
 // aggregateState is the load of a placement's subset as a whole. Its mode applies to all endpoints of the subset if
-// each holds so few requests of this node that its own count, of 0 or 1, says nothing.
+// their mean H is below aggregateBelow: each then holds so few requests of this node that its count, of 0 or 1, says
+// nothing.
 type aggregateState struct {
 	aggregated    bool          // the subset is evaluated as a whole
-	smoothedCount decayingValue // requests in flight
+	smoothedCount decayingValue // smoothed sum of inFlight over the subset
 	mode          Mode
 	excess        float64 // position of the count between H (0) and R (1)
 }
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -17,7 +17,7 @@
 }
 
 // expectedDelay scores an endpoint, for comparison only: the latency of a mean request there, in seconds, times the
-// number of requests in flight including one more.
+// number of requests in flight there plus one.
 func (b *Balancer) expectedDelay(endpoint *endpoint) float64 {
 	return (endpoint.inFlight + 1) * b.latencyOf(endpoint)
 }
@@ -60,9 +60,9 @@
 	return endpoints[i], endpoints[(i+offset)%len(endpoints)]
 }
 
-// modeForRequest updates the endpoint's mode and returns the mode that applies to this request. If a health check for
-// the request has reported the endpoint's load, and queueing and service there would take more than waitShare of the
-// request's objective, the endpoint counts as overloaded at least.
+// modeForRequest updates the endpoint's mode and returns the mode that applies to this request. Where the load is
+// checked, that is at least Overloaded if the endpoint has reported its load since the request's last health checks
+// began, and queueing and service there would take more than waitShare of the request's objective.
 func (b *Balancer) modeForRequest(request *request, endpoint *endpoint) Mode {
 	mode := b.updateMode(request.class.placement, endpoint)
 	work := request.relativeWork * request.class.relativeWork
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	minQuotaBurst    = 20.0 // requests; with it, a tenant that sends at its quota exceeds it by chance 1 time in 40
+	minQuotaBurst    = 20.0 // least burst, in requests: a tenant at its quota is then over it by chance 1 time in 40
 	firstQuotaTokens = 3.0  // jittered by half: some requests pass at once, and the sum over 30 nodes stays small
 )
 
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -20,8 +20,8 @@
 	return parts
 }
 
-// hot gives every tenth node, from the first on, the given multiple of the mean, but 70% of the traffic in all at most.
-// The other nodes get the rest.
+// hot gives every tenth node, starting with the first, the given multiple of the mean, but at most 70% of the traffic
+// in all. The other nodes get the rest.
 func hot(times float64) spread {
 	return func(nodes int) []float64 {
 		parts := evenly(nodes)
@@ -110,7 +110,8 @@
 }
 
 // withinEvenParts returns the fraction of a tenant's requests that is within its quota if each node grants an even part
-// of the quota. The tenant offers the given multiple of its quota, and each node gets its element of parts of that.
+// of the quota. The tenant offers the given multiple of its quota, and each node gets the fraction of that in its
+// element of parts.
 func withinEvenParts(parts []float64, times float64) float64 {
 	within := 0.0
 	for _, part := range parts {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -41,11 +41,11 @@
 
 // endpointStartedAt returns when an endpoint with a new start time has started, on the balancer's clock.
 //
-// Start times come from wall clocks, which may be stepped. A start that is new to this node was therefore recent: no
-// longer ago than maxUnannouncedAge, which the slow start budget allows for. The start time is trusted where this does
-// not hold: in the lists up to and including this process's first full list from discovery, and if the start is so long
-// ago that no clock step explains it. An endpoint that was removed and is back with the same start time keeps its old
-// warm-up start.
+// Start times come from wall clocks, which may be stepped. If an update brings a start that is new to this process, the
+// start was recent, whatever its time: no longer ago than maxUnannouncedAge, which the slow start budget allows for.
+// The start time is trusted where it cannot be checked in this way: in the cached list and the first full list that
+// this process gets, and if it is so long ago that no clock step explains it. An endpoint that was removed and is back
+// with the same start time keeps the warm-up start that it had.
 func (b *Balancer) endpointStartedAt(entry Endpoint, kind UpdateKind, lag time.Duration) Time {
 	removed, ok := b.recentlyRemoved[entry.ID]
 	if ok && removed.startedAt == entry.StartedAt {
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -6,7 +6,7 @@
 )
 
 // Each node sends only to a subset of the endpoints. Endpoints accept few connections, and a node that sends to an
-// endpoint only every few seconds learns of an overload there when it is over. The subsets of all nodes cover the
+// endpoint only every few seconds learns of an overload there only when it is over. The subsets of all nodes cover the
 // endpoints evenly: see orderEndpoints.
 
 const (
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -8,8 +8,8 @@
 // subsetOf returns the subset of the node's first placement.
 func subsetOf(node *Balancer) []*endpoint { return node.placements[0].subset }
 
-// Guards against too many connections at an endpoint, of which it accepts few: each of many nodes must work with a part
-// of the endpoints, and each endpoint must be in the subsets of a similar number of nodes.
+// Guards against more connections at an endpoint than it accepts: each of many nodes must work with a part of the
+// endpoints, and each endpoint must be in the subsets of a similar number of nodes.
 func TestSubsetsAreEven(t *testing.T) {
 	const nodes, endpoints = 360, 60
 	nodesAt := map[EndpointID]int{}
