--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -14,15 +14,15 @@
 	"bankshift/balancer"
 )
 
-// patience bounds what a test waits for; a passing one takes far less.
-const patience = 30 * time.Second
+// testTimeout bounds what a test waits for; a passing one takes far less.
+const testTimeout = 30 * time.Second
 
 func receive[T any](t *testing.T, c <-chan T, what string) T {
 	t.Helper()
 	select {
 	case value := <-c:
 		return value
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("waited in vain for " + what)
 		panic("unreachable")
 	}
@@ -70,7 +70,7 @@
 		ShortPollTimeout: time.Second,
 		FullListTimeout:  time.Second,
 		RetryInterval:    3 * time.Second,
-		FirstBackoff:     agentBackoff,
+		FirstBackoff:     maxFirstBackoff,
 	}, lists)
 	c.OnFailure = func() { t.Error("a failure is reported") }
 	c.watcher.version = 41
@@ -81,7 +81,7 @@
 		if list.Version != 43 || list.Snapshot || len(list.Endpoints) != 1 {
 			t.Errorf("%+v", list)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no list arrives")
 	}
 	for i := 1; ; i++ {
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -45,7 +45,7 @@
 	var changes []EndpointChange
 	for _, endpoint := range d.decode(list) {
 		id := d.ids.idOf(endpoint.Name)
-		entry := endpoint.entry(id)
+		entry := endpoint.balancerEndpoint(id)
 		update.Endpoints = append(update.Endpoints, entry)
 		removed[endpoint.Name] = entry.State == balancer.Removed
 		if entry.State == balancer.Removed {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// entry returns the endpoint in the balancer's form.
-func (e Endpoint) entry(id balancer.EndpointID) balancer.Endpoint {
+// balancerEndpoint returns the endpoint in the balancer's form.
+func (e Endpoint) balancerEndpoint(id balancer.EndpointID) balancer.Endpoint {
 	return balancer.Endpoint{
 		ID:          id,
 		Zone:        e.Zone,
--- a/internal/discovery/recovery_test.go
+++ b/internal/discovery/recovery_test.go
@@ -8,11 +8,11 @@
 	"bankshift/balancer"
 )
 
-// seeds is the number of random cases of each kind.
-const seeds = 150
+// seedCount is the number of random cases of each kind.
+const seedCount = 150
 
-// playTime ends the simulation of a node that never knows version 2.
-const playTime = 5 * time.Minute
+// maxSimulatedTime ends the simulation of a node that never knows version 2.
+const maxSimulatedTime = 5 * time.Minute
 
 var drainGraces = []time.Duration{400 * time.Millisecond, 600 * time.Millisecond, time.Second, 1500 * time.Millisecond, 4 * time.Second}
 
@@ -26,19 +26,19 @@
 	}
 }
 
-// below returns a random time below limit.
-func below(r *rand.Rand, limit time.Duration) time.Duration {
+// randomDuration returns a random time randomDuration limit.
+func randomDuration(r *rand.Rand, limit time.Duration) time.Duration {
 	return time.Duration(r.Int63n(int64(limit)))
 }
 
 // outage is a kind of outage. Its fields are those of virtualService.
 type outage struct {
-	onDemand      bool
-	failsFast     bool
-	rejects       bool
-	resetsOpen    bool
-	instant       bool // it only breaks what is open
-	failuresAfter int
+	onDemand            bool
+	failsFast           bool
+	rejects             bool
+	resetsOpen          bool
+	instant             bool // it only breaks what is open
+	failuresAfterOutage int
 }
 
 func outages() []outage {
@@ -46,11 +46,11 @@
 	for _, onDemand := range []bool{true, false} {
 		for failures := range 2 {
 			all = append(all,
-				outage{onDemand: onDemand, failuresAfter: failures, instant: true},
-				outage{onDemand: onDemand, failuresAfter: failures},
-				outage{onDemand: onDemand, failuresAfter: failures, failsFast: true, resetsOpen: true},
-				outage{onDemand: onDemand, failuresAfter: failures, failsFast: true, resetsOpen: true, rejects: true},
-				outage{onDemand: onDemand, failuresAfter: failures, resetsOpen: true})
+				outage{onDemand: onDemand, failuresAfterOutage: failures, instant: true},
+				outage{onDemand: onDemand, failuresAfterOutage: failures},
+				outage{onDemand: onDemand, failuresAfterOutage: failures, failsFast: true, resetsOpen: true},
+				outage{onDemand: onDemand, failuresAfterOutage: failures, failsFast: true, resetsOpen: true, rejects: true},
+				outage{onDemand: onDemand, failuresAfterOutage: failures, resetsOpen: true})
 		}
 	}
 	return all
@@ -62,64 +62,64 @@
 // pushed it counts at once, and is known within the grace.
 func TestChangeIsKnownAfterAnOutage(t *testing.T) {
 	for _, o := range outages() {
-		var worst, worstAfterHold time.Duration // since discovery's return; since the end of a stalled long poll's time
-		worstExcess := -time.Hour               // over the bound
-		for seed := range int64(seeds) {
+		var worst, worstAfterLongPoll time.Duration // since discovery's return; since the end of a stalled long poll's time
+		worstExcess := -time.Hour                   // over the bound
+		for seed := range int64(seedCount) {
 			run := newOutageRun(o, seed)
-			simulate(playTime, run.node)
+			simulate(maxSimulatedTime, run.node)
 			known := run.node.knownAt
 			bound := run.bound()
 			worstExcess = max(worstExcess, known-bound)
 			if known > bound {
-				t.Errorf("%+v, seed %d, grace %v: known %v after the return, %v past the bound", o, seed, run.settings.DrainGrace, known-run.from, known-bound)
+				t.Errorf("%+v, seed %d, grace %v: known %v after the return, %v past the bound", o, seed, run.settings.DrainGrace, known-run.availableAt, known-bound)
 				break
 			}
-			holdEnd := run.holdEnd()
-			if o.onDemand && !o.resetsOpen && holdEnd > run.from {
-				worstAfterHold = max(worstAfterHold, known-holdEnd)
+			longPollEnd := run.longPollEnd()
+			if o.onDemand && !o.resetsOpen && longPollEnd > run.availableAt {
+				worstAfterLongPoll = max(worstAfterLongPoll, known-longPollEnd)
 			} else {
-				worst = max(worst, known-run.from)
+				worst = max(worst, known-run.availableAt)
 			}
 		}
-		t.Logf("%+v: at most %v after the return, %v after a long poll's time; %v before the bound", o, worst, worstAfterHold, -worstExcess)
+		t.Logf("%+v: at most %v after the return, %v after a long poll's time; %v before the bound", o, worst, worstAfterLongPoll, -worstExcess)
 	}
 }
 
 // outageRun is one node in one outage.
 type outageRun struct {
-	outage   outage
-	settings balancer.Settings
-	node     *virtualNode
-	from     time.Duration // when discovery has the change and can be reached
+	outage      outage
+	settings    balancer.Settings
+	node        *virtualNode
+	availableAt time.Duration // when discovery has the change and can be reached
 }
 
 func newOutageRun(o outage, seed int64) *outageRun {
 	r := rand.New(rand.NewSource(seed))
 	settings := fleetSettings(o.onDemand, drainGraces[r.Intn(len(drainGraces))])
 	service := &virtualService{
-		downAt:        2*time.Second + below(r, 20*time.Second),
-		failsFast:     o.failsFast,
-		rejects:       o.rejects,
-		resetsOpen:    o.resetsOpen,
-		failuresAfter: o.failuresAfter,
-		stallsAfter:   r.Intn(2) == 0,
+		downAt:              2*time.Second + randomDuration(r, 20*time.Second),
+		failsFast:           o.failsFast,
+		rejects:             o.rejects,
+		resetsOpen:          o.resetsOpen,
+		failuresAfterOutage: o.failuresAfterOutage,
+		stallsAfterOutage:   r.Intn(2) == 0,
 	}
 	service.upAt = service.downAt
 	if !o.instant {
-		service.upAt += below(r, 12*time.Second)
+		service.upAt += randomDuration(r, 12*time.Second)
 	}
-	service.changeAt = service.downAt + below(r, service.upAt-service.downAt+time.Second)
+	service.changeAt = service.downAt + randomDuration(r, service.upAt-service.downAt+time.Second)
 	return &outageRun{
-		outage:   o,
-		settings: settings,
-		node:     newVirtualNode(settings, service, seed, 0),
-		from:     max(service.changeAt, service.upAt),
+		outage:      o,
+		settings:    settings,
+		node:        newVirtualNode(settings, service, seed, 0),
+		availableAt: max(service.changeAt, service.upAt),
 	}
 }
 
-// holdEnd is the end of the time of the long poll that was open as the outage
+// longPollEnd is the end of the time of the long poll that was open as the outage
 // began.
-func (r *outageRun) holdEnd() time.Duration {
+func (r *outageRun) longPollEnd() time.Duration {
 	return r.node.openedAt + ScheduleFor(r.settings).LongPollTimeout
 }
 
@@ -128,30 +128,30 @@
 // once or not, the drain grace is used up as well.
 func (r *outageRun) bound() time.Duration {
 	if !r.outage.onDemand {
-		return r.from + r.settings.DrainGrace
+		return r.availableAt + r.settings.DrainGrace
 	}
-	bound := r.from + 6*time.Second
+	bound := r.availableAt + 6*time.Second
 	if r.outage.resetsOpen {
 		return bound
 	}
-	afterHold := r.holdEnd() + 2*time.Second
-	if r.outage.failuresAfter > 0 {
-		afterHold += r.settings.DrainGrace
+	afterLongPoll := r.longPollEnd() + 2*time.Second
+	if r.outage.failuresAfterOutage > 0 {
+		afterLongPoll += r.settings.DrainGrace
 	}
-	return max(bound, afterHold)
+	return max(bound, afterLongPoll)
 }
 
-// TestChangeIsKnownAfterAMove: what a new discovery has counts as notified 4 s
+// TestChangeIsKnownAfterDiscoveryMoves: what a new discovery has counts as notified 4 s
 // after SIGHUP. The configuration may take 0.45 s to read, and two polls may
 // fail; where the old discovery is down as the signal comes, one.
-func TestChangeIsKnownAfterAMove(t *testing.T) {
+func TestChangeIsKnownAfterDiscoveryMoves(t *testing.T) {
 	const limit = 4 * time.Second
 	for _, onDemand := range []bool{true, false} {
 		for failures := range 3 {
 			var worst time.Duration
-			for seed := range int64(seeds) {
-				node, sighup := newMovingNode(onDemand, failures, seed)
-				simulate(playTime, node)
+			for seed := range int64(seedCount) {
+				node, sighup := newNodeWithMovingDiscovery(onDemand, failures, seed)
+				simulate(maxSimulatedTime, node)
 				took := node.knownAt - sighup
 				if took > limit {
 					t.Errorf("on demand %v, %d failures, seed %d: the new discovery's list is known %v after SIGHUP", onDemand, failures, seed, took)
@@ -164,26 +164,26 @@
 	}
 }
 
-// newMovingNode makes a node that moves to another discovery after SIGHUP.
-func newMovingNode(onDemand bool, failures int, seed int64) (node *virtualNode, sighup time.Duration) {
+// newNodeWithMovingDiscovery makes a node that moves to another discovery after SIGHUP.
+func newNodeWithMovingDiscovery(onDemand bool, failures int, seed int64) (node *virtualNode, sighup time.Duration) {
 	const reloadTime = 450 * time.Millisecond
 	r := rand.New(rand.NewSource(seed))
 	settings := fleetSettings(onDemand, drainGraces[r.Intn(len(drainGraces))])
-	sighup = 12*time.Second + below(r, 20*time.Second)
+	sighup = 12*time.Second + randomDuration(r, 20*time.Second)
 	old := &virtualService{downAt: Never, upAt: Never, changeAt: Never}
 	if failures < 2 && r.Intn(2) == 0 {
-		old.downAt = sighup - below(r, 10*time.Second)
+		old.downAt = sighup - randomDuration(r, 10*time.Second)
 	}
 	node = newVirtualNode(settings, old, seed, 0)
-	node.moveTo = &virtualService{downAt: Never, upAt: 0, failuresAfter: failures, stallsAfter: r.Intn(2) == 0}
+	node.moveTo = &virtualService{downAt: Never, upAt: 0, failuresAfterOutage: failures, stallsAfterOutage: r.Intn(2) == 0}
 	node.moveAt = sighup + reloadTime
 	return node, sighup
 }
 
-// TestPollsStayFew: on demand, polls are work of a shared service. At rest and
+// TestOnDemandPollRateIsLimited: on demand, polls are work of a shared service. At rest and
 // through an outage they stay few, and nodes that lost the service together do
 // not return together.
-func TestPollsStayFew(t *testing.T) {
+func TestOnDemandPollRateIsLimited(t *testing.T) {
 	const nodes = 450
 	for _, failsFast := range []bool{true, false} {
 		service := &virtualService{downAt: 70 * time.Second, upAt: 78 * time.Second, failsFast: failsFast, resetsOpen: true, changeAt: Never}
--- a/internal/discovery/request_test.go
+++ b/internal/discovery/request_test.go
@@ -28,16 +28,16 @@
 	}))
 	defer s.Close()
 	defer s.CloseClientConnections()
-	c := newClient(s, PollSchedule{ResponseTimeout: patience}, nil)
+	c := newClient(s, PollSchedule{ResponseTimeout: testTimeout}, nil)
 	for _, request := range []struct {
 		name  string
 		poll  Poll
 		cause error
 	}{
-		{"status 503", Poll{FromVersion: 1, Timeout: patience, StallTimeout: patience}, errRejected},
-		{"no response", Poll{FromVersion: 2, Timeout: 20 * time.Millisecond, StallTimeout: patience}, errStalled},
-		{"half a response", Poll{FromVersion: 3, Timeout: patience, StallTimeout: 20 * time.Millisecond}, errStalled},
-		{"endless list", Poll{FromVersion: 4, Timeout: patience, StallTimeout: patience}, errListTooLong},
+		{"status 503", Poll{FromVersion: 1, Timeout: testTimeout, StallTimeout: testTimeout}, errRejected},
+		{"no response", Poll{FromVersion: 2, Timeout: 20 * time.Millisecond, StallTimeout: testTimeout}, errStalled},
+		{"half a response", Poll{FromVersion: 3, Timeout: testTimeout, StallTimeout: 20 * time.Millisecond}, errStalled},
+		{"endless list", Poll{FromVersion: 4, Timeout: testTimeout, StallTimeout: testTimeout}, errListTooLong},
 	} {
 		if _, err := c.request(context.Background(), request.poll); !errors.Is(err, request.cause) {
 			t.Errorf("%s: error %v, want %v", request.name, err, request.cause)
@@ -59,11 +59,11 @@
 		panic(http.ErrAbortHandler) // resets the connection
 	}))
 	defer s.Close()
-	c := newClient(s, PollSchedule{OnDemand: true, ResponseTimeout: patience}, nil)
-	if _, err := c.request(context.Background(), Poll{Full: true, Timeout: patience, StallTimeout: patience}); err != nil {
+	c := newClient(s, PollSchedule{OnDemand: true, ResponseTimeout: testTimeout}, nil)
+	if _, err := c.request(context.Background(), Poll{Full: true, Timeout: testTimeout, StallTimeout: testTimeout}); err != nil {
 		t.Fatal(err)
 	}
-	longPoll := Poll{FromVersion: 1, LongPollTimeout: time.Second, Timeout: patience, StallTimeout: patience}
+	longPoll := Poll{FromVersion: 1, LongPollTimeout: time.Second, Timeout: testTimeout, StallTimeout: testTimeout}
 	if _, err := c.request(context.Background(), longPoll); !errors.Is(err, errLongPollBroken) {
 		t.Errorf("error %v, want %v", err, errLongPollBroken)
 	}
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -12,10 +12,10 @@
 
 // Times of polls on demand, which are work for a shared service.
 const (
-	onDemandLongPoll        = 20 * time.Second
-	onDemandResponseTimeout = 2300 * time.Millisecond // a hedged request may have to queue at the service
-	onDemandShortPoll       = 2 * time.Second         // polls queue at the service; a sooner one would only queue anew
-	hedgeDelay              = 800 * time.Millisecond
+	onDemandLongPollTimeout  = 20 * time.Second
+	onDemandResponseTimeout  = 2300 * time.Millisecond // a hedged request may have to queue at the service
+	onDemandShortPollTimeout = 2 * time.Second         // polls queue at the service; a sooner one would only queue anew
+	hedgeDelay               = 800 * time.Millisecond
 )
 
 // Bounds of the drain grace from which the times of polls of the agent follow.
@@ -24,9 +24,9 @@
 	maxGrace = 4 * time.Second        // a stalled long poll must be noticed within 6 s in any case
 )
 
-// agentBackoff is the longest first wait after a failure of the agent, which is
+// maxFirstBackoff is the longest first wait after a failure of the agent, which is
 // cheap to poll.
-const agentBackoff = 50 * time.Millisecond
+const maxFirstBackoff = 50 * time.Millisecond
 
 // PollSchedule holds the times by which a Watcher polls. They follow from how
 // late a change may be noticed once discovery can be reached again, even if two
@@ -74,11 +74,11 @@
 func onDemandSchedule() PollSchedule {
 	return PollSchedule{
 		OnDemand:         true,
-		LongPollTimeout:  onDemandLongPoll,
+		LongPollTimeout:  onDemandLongPollTimeout,
 		ResponseTimeout:  onDemandResponseTimeout,
 		HedgeDelay:       hedgeDelay,
-		ShortPollTimeout: onDemandShortPoll,
-		FullListTimeout:  onDemandShortPoll,
+		ShortPollTimeout: onDemandShortPollTimeout,
+		FullListTimeout:  onDemandShortPollTimeout,
 		RetryInterval:    balancer.MaxPollRetryInterval,
 	}
 }
@@ -91,6 +91,6 @@
 		ShortPollTimeout: grace / 8,
 		FullListTimeout:  grace / 4,
 		RetryInterval:    grace * 5 / 16,
-		FirstBackoff:     min(agentBackoff, grace/24),
+		FirstBackoff:     min(maxFirstBackoff, grace/24),
 	}
 }
--- a/internal/discovery/virtual_test.go
+++ b/internal/discovery/virtual_test.go
@@ -19,8 +19,8 @@
 	rejects    bool // failures that are not stalls are rejections
 	resetsOpen bool // requests that are open as the outage begins are reset; otherwise they stall
 
-	failuresAfter int  // so many requests of each node still fail after the outage
-	stallsAfter   bool // in that they stall; otherwise they fail at once
+	failuresAfterOutage int  // so many requests of each node still fail after the outage
+	stallsAfterOutage   bool // in that they stall; otherwise they fail at once
 
 	requestTimes []time.Duration
 }
@@ -138,9 +138,9 @@
 	switch {
 	case now >= s.downAt && now < s.upAt:
 		return false, n.failureEnd(now, timeout, s.failsFast)
-	case now >= s.upAt && n.failures < s.failuresAfter:
+	case now >= s.upAt && n.failures < s.failuresAfterOutage:
 		n.failures++
-		return false, n.failureEnd(now, timeout, !s.stallsAfter)
+		return false, n.failureEnd(now, timeout, !s.stallsAfterOutage)
 	case now < s.downAt && end > s.downAt: // open as the outage begins
 		n.openedAt = now
 		if s.resetsOpen {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// rejectedLongPoll is the LongPollTimeout after a rejection. It is short enough
+// longPollTimeoutAfterRejection is the LongPollTimeout after a rejection. It is short enough
 // for a stall of discovery to be noticed within 6 s.
-const rejectedLongPoll = 2 * time.Second
+const longPollTimeoutAfterRejection = 2 * time.Second
 
 // A long poll whose response comes early and without a change was not held. The
 // next poll waits then, as it would otherwise be a busy loop.
 const (
-	notHeldFraction = 100 // responses within LongPollTimeout/notHeldFraction are early
-	notHeldDelay    = 100 * time.Millisecond
+	notHeldDivisor = 100 // responses within LongPollTimeout/notHeldFraction are early
+	notHeldDelay   = 100 * time.Millisecond
 )
 
 // Waits are multiplied by a factor from minJitter to maxJitter.
@@ -102,7 +102,7 @@
 	case !w.shortNext:
 		return w.schedule.LongPollTimeout, w.schedule.LongPollTimeout + w.schedule.ResponseTimeout
 	case w.rejected:
-		return rejectedLongPoll, rejectedLongPoll + w.schedule.ResponseTimeout
+		return longPollTimeoutAfterRejection, longPollTimeoutAfterRejection + w.schedule.ResponseTimeout
 	case w.failures <= 1:
 		return shortPollHold, w.schedule.ShortPollTimeout
 	default:
@@ -138,7 +138,7 @@
 		return false
 	}
 	w.nextAt = now
-	if poll.isLong() && list.Version == poll.FromVersion && now-w.startedAt < poll.LongPollTimeout/notHeldFraction {
+	if poll.isLong() && list.Version == poll.FromVersion && now-w.startedAt < poll.LongPollTimeout/notHeldDivisor {
 		w.nextAt += notHeldDelay
 	}
 	if w.failures > 0 {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -9,13 +9,13 @@
 	"bankshift/balancer"
 )
 
-// halfJitter makes each wait as long as it is without jitter.
-func halfJitter() float64 { return 0.5 }
+// noJitter makes each wait as long as it is without jitter.
+func noJitter() float64 { return 0.5 }
 
-// TestWatcherFollowsByItself: the first poll is for the full list, and a long
+// TestWatcherPollsContinuously: the first poll is for the full list, and a long
 // poll follows without a pause. Only the first failure of an outage is reported.
-func TestWatcherFollowsByItself(t *testing.T) {
-	w := NewWatcher(ScheduleFor(balancer.Settings{DrainGrace: time.Second}), halfJitter)
+func TestWatcherPollsContinuously(t *testing.T) {
+	w := NewWatcher(ScheduleFor(balancer.Settings{DrainGrace: time.Second}), noJitter)
 	now := time.Hour
 	poll, _, ok := w.Next(now)
 	if !ok || !poll.Full || poll.Query() != "" || poll.Timeout <= 0 {
@@ -61,7 +61,7 @@
 // TestWatcherOnDemand: a Watcher polls only after Request. The result of a poll
 // that Request has canceled does not count.
 func TestWatcherOnDemand(t *testing.T) {
-	w := NewWatcher(ScheduleFor(balancer.Settings{EndpointsOnDemand: true, DrainGrace: time.Second}), halfJitter)
+	w := NewWatcher(ScheduleFor(balancer.Settings{EndpointsOnDemand: true, DrainGrace: time.Second}), noJitter)
 	now := time.Hour
 	if _, at, ok := w.Next(now); ok || at != Never {
 		t.Error("a poll without a Request")
@@ -109,7 +109,7 @@
 // again.
 func TestVersionZeroIsAVersion(t *testing.T) {
 	for _, onDemand := range []bool{false, true} {
-		w := NewWatcher(ScheduleFor(balancer.Settings{EndpointsOnDemand: onDemand, DrainGrace: time.Second}), halfJitter)
+		w := NewWatcher(ScheduleFor(balancer.Settings{EndpointsOnDemand: onDemand, DrainGrace: time.Second}), noJitter)
 		now := time.Hour
 		w.Request(now, true, true)
 		poll, _, ok := w.Next(now)
@@ -128,7 +128,7 @@
 func TestPollAfterARejectionIsLong(t *testing.T) {
 	schedule := ScheduleFor(balancer.Settings{EndpointsOnDemand: true, DrainGrace: time.Second})
 	for _, rejected := range []bool{true, false} {
-		w := NewWatcher(schedule, halfJitter)
+		w := NewWatcher(schedule, noJitter)
 		now := time.Duration(0)
 		w.Request(now, true, true)
 		poll, _, _ := w.Next(now)
