--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// maxConnections allows for the requests of a long poll and one more that has
-// not ended yet.
+// maxConnections limits the connections to discovery. It allows for all requests of
+// a long poll and for one earlier request that has not ended yet.
 const maxConnections = maxLongPollRequests + 1
 
-// Client polls discovery over HTTP when its Watcher says so. Set the callbacks
-// before Run, which calls them one at a time from its own goroutine. Request and
-// Close may be called from any goroutine.
+// Client polls discovery over HTTP as its Watcher schedules it. The callbacks must
+// be set before Run, which calls them one at a time from the goroutine that it runs
+// on. Request and Close may be called from any goroutine.
 type Client struct {
-	OnUpdate  func(List) // gets each list, in order
-	OnFailure func()     // is called for each failure on demand; may be nil otherwise
+	OnUpdate  func(List) // receives each list, in order
+	OnFailure func()     // called for each failed poll of an on-demand schedule; may be nil otherwise
 
 	url       string
 	http      *http.Client
@@ -28,19 +28,20 @@
 	log       *slog.Logger
 	startTime time.Time
 	closed    chan struct{} // closed by Close
-	requested chan struct{} // has a value after a Request
+	requested chan struct{} // wakes sleep; holds a value after a Request
 
 	mu         sync.Mutex // guards the fields below
 	watcher    *Watcher
-	cancelPoll context.CancelFunc // of the poll in flight; nil: none
+	cancelPoll context.CancelFunc // cancels the poll in flight; nil if there is none
 
-	// closesConnections is set once discovery is seen to close connections after
-	// its responses. Long polls get new connections from then on.
+	// closesConnections is set once discovery has closed a connection after its
+	// response. On-demand long polls use new connections from then on.
 	closesConnections atomic.Bool
 }
 
-// NewClient makes a Client of the discovery at address, host:port. Random is the
-// source of jitter, in [0,1). Nothing is sent before Run.
+// NewClient returns a Client for the discovery service at address (host:port).
+// random is the source of jitter and returns values in [0,1). Nothing is sent before
+// Run.
 func NewClient(address string, schedule PollSchedule, random func() float64, log *slog.Logger) *Client {
 	dialer := &net.Dialer{Timeout: schedule.ResponseTimeout}
 	transport := &http.Transport{
@@ -60,7 +61,7 @@
 	}
 }
 
-// Run polls until ctx ends or Close is called. It closes its connections then.
+// Run polls until ctx is done or Close is called. It then closes the connections.
 func (c *Client) Run(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -82,8 +83,8 @@
 	}
 }
 
-// Request passes on what is wanted on demand, as Watcher.Request. It does not
-// block.
+// Request passes what the caller wants on demand to Watcher.Request, and cancels the
+// poll in flight if its result no longer counts. It does not block.
 func (c *Client) Request(fetch, subscribe bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,15 +98,16 @@
 	}
 }
 
-// Close ends the polls and their connections for good. It must be called only
-// once.
+// Close makes Run cancel the poll in flight, close the connections and return. It
+// must be called only once.
 func (c *Client) Close() { close(c.closed) }
 
-// now is the Watcher's clock.
+// now returns the time on the Watcher's clock, which starts when the Client is
+// created.
 func (c *Client) now() time.Duration { return time.Since(c.startTime) }
 
-// next takes the poll that is due from the Watcher, with a context that Request
-// may cancel.
+// next returns the poll that is due and a context for it that Request can cancel. If
+// no poll is due, ok is false and at is the time to call next again.
 func (c *Client) next(ctx context.Context) (poll Poll, at time.Duration, ok bool, pollCtx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,8 +118,8 @@
 	return poll, at, ok, ctx
 }
 
-// sleep returns at a time of the Watcher's clock, or at a Request or the end of
-// ctx.
+// sleep waits until a time on the Watcher's clock, a Request or the end of ctx,
+// whichever comes first.
 func (c *Client) sleep(ctx context.Context, until time.Duration) {
 	timer := time.NewTimer(until - c.now())
 	defer timer.Stop()
@@ -128,7 +130,7 @@
 	}
 }
 
-// pollOnce makes a poll and passes its result on.
+// pollOnce sends a poll and passes its result to the Watcher and to the callbacks.
 func (c *Client) pollOnce(ctx, pollCtx context.Context, poll Poll) {
 	list, err := c.fetch(pollCtx, poll)
 	report := c.finish(poll, list, err)
@@ -145,8 +147,8 @@
 	}
 }
 
-// finish gives the result of a poll to the Watcher. It returns whether to report
-// the result.
+// finish passes the result of a poll to the Watcher. It returns whether to report
+// the result to the callbacks.
 func (c *Client) finish(poll Poll, list List, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,8 +164,9 @@
 	}
 }
 
-// fetch sends the requests of a poll and returns the first list, or the last error
-// if there is none. It cancels the requests that are left over.
+// fetch sends the requests of a poll at its RequestTimes. It returns the first list,
+// or the last error once all requests sent so far have failed. It cancels the
+// requests that are still running.
 func (c *Client) fetch(ctx context.Context, poll Poll) (List, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -14,7 +14,7 @@
 	"bankshift/balancer"
 )
 
-// testTimeout bounds what a test waits for; a passing one takes far less.
+// testTimeout limits each wait of a test; a passing test takes far less.
 const testTimeout = 30 * time.Second
 
 func receive[T any](t *testing.T, c <-chan T, what string) T {
@@ -23,20 +23,22 @@
 	case value := <-c:
 		return value
 	case <-time.After(testTimeout):
-		t.Fatal("waited in vain for " + what)
+		t.Fatal("timed out waiting for " + what)
 		panic("unreachable")
 	}
 }
 
-// newClient makes a Client of a test server that passes its lists on.
+// newClient returns a Client that polls a test server and sends the lists it
+// receives to a channel.
 func newClient(s *httptest.Server, schedule PollSchedule, lists chan<- List) *Client {
 	c := NewClient(s.Listener.Addr().String(), schedule, rand.Float64, discardLog)
 	c.OnUpdate = func(list List) { lists <- list }
 	return c
 }
 
-// TestClientSurvivesFailures: a discovery that fails in one way after another is
-// polled from the last version each time, and its change arrives.
+// TestClientSurvivesFailures guards against a Client that stops polling or forgets
+// its version after a failure. Discovery fails in one way after another; each poll
+// must be from the last version, and the change must arrive.
 func TestClientSurvivesFailures(t *testing.T) {
 	versions := make(chan string, 100)
 	var requests atomic.Int32
@@ -56,7 +58,7 @@
 			fmt.Fprint(w, `{"index":`)
 		case 4:
 			<-r.Context().Done() // stalls until the client gives up
-		default: // the first such response may be late on a slow machine
+		default: // on a slow machine the first of these responses may come after the timeout
 			fmt.Fprintf(w, `{"index":43,"snapshot":false,"endpoints":[%s]}`, entryJSON("s", "127.0.0.1:1", "draining"))
 		}
 	}))
@@ -72,14 +74,14 @@
 		RetryInterval:    3 * time.Second,
 		FirstBackoff:     maxFirstBackoff,
 	}, lists)
-	c.OnFailure = func() { t.Error("a failure is reported") }
+	c.OnFailure = func() { t.Error("OnFailure is called though the schedule is not on demand") }
 	c.watcher.version = 41
 	c.watcher.hasVersion = true
 	go c.Run(ctx)
 	select {
 	case list := <-lists:
 		if list.Version != 43 || list.Snapshot || len(list.Endpoints) != 1 {
-			t.Errorf("%+v", list)
+			t.Errorf("list %+v, want changes with one endpoint, version 43", list)
 		}
 	case <-time.After(testTimeout):
 		t.Fatal("no list arrives")
@@ -90,13 +92,13 @@
 			break
 		}
 		if from != "41" {
-			t.Fatalf("request %d is from version %s, want 41, and 43 after five or more", i, from)
+			t.Fatalf("request %d is from version %s, want 41 for at least five requests and then 43", i, from)
 		}
 	}
 }
 
-// TestClientOnDemand: each failure is reported, and the client polls again only
-// after a Request.
+// TestClientOnDemand guards against an on-demand Client that does not report a
+// failure, or that polls again after one without a Request.
 func TestClientOnDemand(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Query().Get("from") {
@@ -124,17 +126,19 @@
 	}{{false, 50}, {true, 42}} {
 		c.Request(step.fetch, true)
 		if list := <-lists; list.Version != step.version {
-			t.Errorf("list %d, want %d", list.Version, step.version)
+			t.Errorf("list of version %d, want %d", list.Version, step.version)
 		}
 		<-failures
 	}
 	if len(lists) != 0 || len(failures) != 0 {
-		t.Error("after a failure the client polls by itself")
+		t.Error("the client polls after a failure without a Request")
 	}
 }
 
-// TestStalledPollAfterAnOutage: a long poll stalls from an outage on and never
-// ends. What the agent has as it returns counts as notified at once.
+// TestStalledPollAfterAnOutage guards against a drain that is known too late because
+// a long poll stalls from an outage on and never ends. A change that the agent has
+// when it is back counts as notified at once, so it must be known within the drain
+// grace.
 func TestStalledPollAfterAnOutage(t *testing.T) {
 	const grace = 4 * time.Second
 	stalled := make(chan bool, 1)
@@ -163,21 +167,22 @@
 	lists := make(chan List, 10)
 	go newClient(s, ScheduleFor(balancer.Settings{DrainGrace: grace}), lists).Run(ctx)
 	if list := receive(t, lists, "the full list"); list.Version != 7 {
-		t.Fatalf("%+v", list)
+		t.Fatalf("first list %+v, want version 7", list)
 	}
-	started := time.Now() // the poll that stalls has begun by now, or does at once
+	started := time.Now() // the long poll that stalls has started or is about to
 	if list := receive(t, lists, "the drain"); list.Version != 8 {
-		t.Fatalf("%+v", list)
+		t.Fatalf("second list %+v, want version 8", list)
 	}
 	if took := time.Since(started); took > grace {
-		t.Errorf("the drain is known after %v, want within the grace of %v", took, grace)
+		t.Errorf("the drain is known after %v, want within the drain grace of %v", took, grace)
 	}
 }
 
-// TestSlowListArrives: a long list whose parts each come in time is taken
-// however long it takes in all; one that stalls is given up.
+// TestSlowListArrives guards against giving up a long list that arrives slowly. A
+// list whose parts each arrive in time is accepted, however long it takes as a
+// whole; a list that stalls is given up and requested again.
 func TestSlowListArrives(t *testing.T) {
-	var requests, beforeEnd atomic.Int32 // of them, before the list's last part was sent
+	var requests, beforeEnd atomic.Int32 // all requests; those received before the last part of the list was sent
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, `{"index":7,`)
 		if requests.Add(1) == 1 {
@@ -211,8 +216,8 @@
 	}
 }
 
-// TestConnectionsClosedAfterResponses: a discovery that closes its connections
-// after each response without saying so is followed all the same.
+// TestConnectionsClosedAfterResponses guards against failed polls where discovery
+// closes each connection after its response without announcing it in a header.
 func TestConnectionsClosedAfterResponses(t *testing.T) {
 	var version atomic.Int32
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -225,7 +230,7 @@
 		defer conn.Close()
 		fmt.Fprintf(buf, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		buf.Flush()
-		time.Sleep(time.Millisecond) // the client has the response and polls again
+		time.Sleep(time.Millisecond) // the client reads the response and polls again before the connection closes
 	}))
 	t.Cleanup(s.CloseClientConnections)
 	for _, onDemand := range []bool{true, false} {
@@ -244,14 +249,15 @@
 		}
 		cancel()
 		if n := failures.Load(); n > 2 {
-			t.Errorf("on demand %v: %d polls failed", onDemand, n)
+			t.Errorf("on demand %v: %d polls failed, want at most 2", onDemand, n)
 		}
 	}
 }
 
-// TestHedgedRequestsOfAStalledLongPoll: a long poll stalls past its time, and so
-// does the first hedged request. The change that they miss is known within 2 s
-// of that time, and the requests that are left over are canceled.
+// TestHedgedRequestsOfAStalledLongPoll guards against a change that is known too
+// late because a long poll and its first hedged request stall. The change must be
+// known within 2 s after LongPollTimeout, and the requests that are still running
+// must be canceled.
 func TestHedgedRequestsOfAStalledLongPoll(t *testing.T) {
 	const longPollTimeout = 100 * time.Millisecond
 	var requests atomic.Int32
@@ -275,13 +281,13 @@
 	schedule.LongPollTimeout = longPollTimeout
 	lists := make(chan List, 10)
 	c := newClient(s, schedule, lists)
-	c.OnFailure = func() { t.Error("a failure is reported") }
+	c.OnFailure = func() { t.Error("OnFailure is called though a hedged request succeeds") }
 	c.Request(true, true)
 	go c.Run(ctx)
 	receive(t, lists, "the first list")
 	started := time.Now()
 	if list := receive(t, lists, "the second list"); list.Version != 2 || time.Since(started) > longPollTimeout+2*time.Second {
-		t.Errorf("version %d after %v, want 2 within 2 s of the long poll's time", list.Version, time.Since(started))
+		t.Errorf("version %d after %v, want 2 within 2 s after LongPollTimeout", list.Version, time.Since(started))
 	}
 	for range 2 {
 		receive(t, canceled, "the end of the other requests")
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -12,24 +12,25 @@
 // Directory holds the listed endpoints and their IDs. The zero value is empty
 // and logs nothing. It is not safe for concurrent use.
 type Directory struct {
-	Log *slog.Logger // for malformed entries; nil: none
+	Log *slog.Logger // receives malformed entries; nil discards them
 
 	ids    idTable
 	listed map[string]balancer.EndpointID // by name
 }
 
-// EndpointChange is what a list says about the address of one endpoint.
+// EndpointChange describes one endpoint of a list, or its removal, for the
+// connections to it.
 type EndpointChange struct {
 	ID          balancer.EndpointID
 	Name        string
 	Address     string // host:port; empty for a removed endpoint
-	StartedAtMS int64  // last start, Unix time in ms; 0: long ago
+	StartedAtMS int64  // last start, Unix time in ms; 0 means long ago
 	State       balancer.EndpointState
 }
 
-// Apply takes a list. It returns the update for the balancer and the changes of
-// addresses for connections. Endpoints that are removed, by their status or
-// because they are not in a full list, come last among the changes. Their IDs
+// Apply applies a list. It returns the update for the balancer and the changes for
+// the connections to endpoints. Endpoints that are removed, by their status or
+// because a full list does not contain them, come last among the changes. Their IDs
 // are free from then on.
 func (d *Directory) Apply(list List, kind balancer.UpdateKind) (balancer.EndpointUpdate, []EndpointChange) {
 	if d.listed == nil {
@@ -38,7 +39,7 @@
 	removed := map[string]bool{}
 	if kind != balancer.IncrementalUpdate {
 		for name := range d.listed {
-			removed[name] = true // unless the list holds it
+			removed[name] = true // reset below if the list contains it
 		}
 	}
 	update := balancer.EndpointUpdate{Kind: kind, Version: list.Version}
@@ -63,9 +64,10 @@
 	return update, append(changes, d.remove(removed)...)
 }
 
-// decode returns the valid entries of a list, sorted by name. The order must not
-// depend on the list's, because the IDs of names that share a hash depend on it.
-// Entries for one name keep their order, as the last one counts.
+// decode returns the valid entries of a list, sorted by name: the IDs of names with
+// the same hash depend on the order of the entries, which must not depend on the
+// order of the list. The sort is stable, because the last of several entries for one
+// name counts.
 func (d *Directory) decode(list List) []Endpoint {
 	log := d.Log
 	if log == nil {
@@ -76,7 +78,7 @@
 	return endpoints
 }
 
-// remove forgets the endpoints whose names are set in removed. It returns the
+// remove deletes the endpoints whose names are true in removed. It returns their
 // changes, sorted by name.
 func (d *Directory) remove(removed map[string]bool) []EndpointChange {
 	var names []string
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -9,8 +9,9 @@
 	"bankshift/balancer"
 )
 
-// TestDirectory: the zero value works. Endpoints that a full list leaves out
-// come last among the changes, in order, and their IDs are free again.
+// TestDirectory guards against wrong IDs, states or order in the results of Apply.
+// The zero value must work. Endpoints that a full list does not contain must come
+// last among the changes, in order of their names, and must no longer be listed.
 func TestDirectory(t *testing.T) {
 	var d Directory
 	makeList := func(full bool, entries ...string) List {
@@ -23,11 +24,11 @@
 	list := makeList(true, entryJSON("b", "127.0.0.1:2", "draining"), `{}`, entryJSON("a", "127.0.0.1:1", "ready"), entryJSON("c", "127.0.0.1:3", "ready"))
 	update, changes := d.Apply(list, list.Kind())
 	if update.Kind != balancer.FullUpdate || update.Version != 5 || len(update.Endpoints) != 3 {
-		t.Fatalf("update %+v", update)
+		t.Fatalf("update %+v, want a full update of version 5 with 3 endpoints", update)
 	}
 	if len(changes) != 3 || changes[0].Name != "a" || changes[1].State != balancer.Draining ||
 		changes[2].Address != "127.0.0.1:3" || changes[2].StartedAtMS != 7 {
-		t.Fatalf("changes %+v", changes)
+		t.Fatalf("changes %+v, want a, the draining b, and c", changes)
 	}
 	for i, endpoint := range update.Endpoints {
 		id, ok := d.ID(changes[i].Name)
@@ -35,29 +36,29 @@
 			t.Errorf("%s has ID %d, %d in the update, %d in the change", changes[i].Name, id, endpoint.ID, changes[i].ID)
 		}
 		if endpoint.StartedAt != 7*time.Millisecond {
-			t.Errorf("%s started at %v", changes[i].Name, endpoint.StartedAt)
+			t.Errorf("%s started at %v, want 7ms", changes[i].Name, endpoint.StartedAt)
 		}
 	}
 
 	list = makeList(false, entryJSON("b", "127.0.0.1:4", "ready"))
 	update, changes = d.Apply(list, list.Kind())
 	if update.Kind != balancer.IncrementalUpdate || len(changes) != 1 || d.Len() != 3 {
-		t.Errorf("incremental: update %+v\nchanges %+v", update, changes)
+		t.Errorf("after changes to b: update %+v\nchanges %+v", update, changes)
 	}
 
 	list = makeList(true, entryJSON("b", "127.0.0.1:4", "ready"))
 	update, changes = d.Apply(list, list.Kind())
 	if len(update.Endpoints) != 1 || len(changes) != 3 || changes[1].Name != "a" ||
 		changes[1].State != balancer.Removed || changes[2].Name != "c" || fmt.Sprint(d.Names()) != "[b]" {
-		t.Errorf("full: update %+v\nchanges %+v", update, changes)
+		t.Errorf("after a full list of b: update %+v\nchanges %+v", update, changes)
 	}
 	if _, ok := d.ID("a"); ok {
 		t.Error("a removed endpoint is listed")
 	}
 }
 
-// TestLastEntryOfANameCounts: of a list's entries for one name the last decides
-// whether the endpoint is listed.
+// TestLastEntryOfANameCounts guards against an endpoint that is listed or removed by
+// an earlier entry: the last of several entries for one name must count.
 func TestLastEntryOfANameCounts(t *testing.T) {
 	ready := json.RawMessage(entryJSON("a", "127.0.0.1:1", "ready"))
 	removed := json.RawMessage(entryJSON("a", "", "gone"))
--- a/internal/discovery/idtable.go
+++ b/internal/discovery/idtable.go
@@ -15,9 +15,9 @@
 	hash   func(string) uint32 // nil: FNV-1a
 }
 
-// idOf returns the ID of a name, and assigns one to a new name. If the hash is
-// taken, the name is salted and hashed again: two endpoints with one ID would
-// share their load and their drains.
+// idOf returns the ID of a name, and assigns one to a new name. If another name has
+// the same hash, the name is salted and hashed again: endpoints with the same ID
+// would share their load and their drains.
 func (t *idTable) idOf(name string) balancer.EndpointID {
 	if id, ok := t.byName[name]; ok {
 		return id
--- a/internal/discovery/idtable_test.go
+++ b/internal/discovery/idtable_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// TestIDTable guards against IDs that are not unique, change, or depend on the order
+// in which names are seen.
 func TestIDTable(t *testing.T) {
 	var one, other idTable
 	first := one.idOf("s-1")
@@ -19,6 +21,8 @@
 	}
 }
 
+// TestIDTableSaltsNamesWithOneHash guards against one ID for two names with the same
+// hash.
 func TestIDTableSaltsNamesWithOneHash(t *testing.T) {
 	table := idTable{hash: func(s string) uint32 { return uint32(strings.Count(s, "\x00")) }}
 	x := table.idOf("x")
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -11,17 +11,17 @@
 	"bankshift/balancer"
 )
 
-// maxLoggedEntry is the number of bytes of a malformed entry that are logged.
+// maxLoggedEntry limits how many bytes of a malformed entry are logged.
 const maxLoggedEntry = 200
 
-// List is an endpoint list, or the changes of one, as discovery sends it.
+// List is a full endpoint list or a list of changes, as discovery sends it.
 type List struct {
-	Version   uint64            `json:"index"` // of this discovery only; it may be 0
-	Snapshot  bool              `json:"snapshot"`
-	Endpoints []json.RawMessage `json:"endpoints"` // of Endpoint
+	Version   uint64            `json:"index"`     // valid only for the discovery service that sent it; may be 0
+	Snapshot  bool              `json:"snapshot"`  // the list is full; otherwise it holds changes
+	Endpoints []json.RawMessage `json:"endpoints"` // each an Endpoint
 }
 
-// Kind returns whether the list is full or only holds changes.
+// Kind returns whether the list is full or holds only changes.
 func (l List) Kind() balancer.UpdateKind {
 	if l.Snapshot {
 		return balancer.FullUpdate
@@ -29,8 +29,8 @@
 	return balancer.IncrementalUpdate
 }
 
-// decode returns the valid entries. A malformed entry must not cost the node the
-// others, so it is logged and skipped.
+// decode returns the valid entries. A malformed entry is logged and skipped, so that
+// the node still gets the others.
 func (l List) decode(log *slog.Logger) []Endpoint {
 	var endpoints []Endpoint
 	for _, raw := range l.Endpoints {
@@ -52,8 +52,8 @@
 	MachineType string  `json:"type"`
 	Cell        int     `json:"group"`
 	Status      string  `json:"status"`   // a key of endpointStates
-	Weight      float64 `json:"weight"`   // no unit
-	StartedAtMS int64   `json:"since_ms"` // last start, Unix time in ms; 0: long ago
+	Weight      float64 `json:"weight"`   // without a unit
+	StartedAtMS int64   `json:"since_ms"` // last start, Unix time in ms; 0 means long ago
 }
 
 var endpointStates = map[string]balancer.EndpointState{
@@ -64,7 +64,7 @@
 
 // Errors of malformed entries.
 var (
-	errNoName        = errors.New("no name")
+	errNoName        = errors.New("entry has no name")
 	errNegativeValue = errors.New("negative since_ms or weight")
 )
 
@@ -79,7 +79,8 @@
 	return e, nil
 }
 
-// validate accepts a removed endpoint without an address.
+// validate checks an entry. The address of a removed endpoint may be missing and is
+// not checked.
 func (e Endpoint) validate() error {
 	if e.Name == "" {
 		return errNoName
@@ -93,12 +94,12 @@
 		return fmt.Errorf("address: %w", err)
 	}
 	if e.StartedAtMS < 0 || e.Weight < 0 {
-		return errNegativeValue
+		return fmt.Errorf("%w: since_ms %d, weight %g", errNegativeValue, e.StartedAtMS, e.Weight)
 	}
 	return nil
 }
 
-// balancerEndpoint returns the endpoint in the balancer's form.
+// balancerEndpoint converts the entry to the balancer's type.
 func (e Endpoint) balancerEndpoint(id balancer.EndpointID) balancer.Endpoint {
 	return balancer.Endpoint{
 		ID:          id,
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -35,6 +35,6 @@
 	got := list.decode(discardLog)
 	want := Endpoint{Name: "good", Address: "127.0.0.1:1", Zone: "a", MachineType: "m2", Cell: 3, Status: "ready", Weight: 1.5, StartedAtMS: 7}
 	if len(got) != 2 || got[0] != want || got[1].Name != "left" {
-		t.Errorf("%+v, want good and left", got)
+		t.Errorf("valid entries %+v, want good and left", got)
 	}
 }
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// shortPollHold is the time for which discovery may hold a short poll. It is a
-// response at once in effect; zero could be read as a missing figure.
+// shortPollHold is how long discovery may hold a short poll. The response is
+// immediate in effect; a hold time of 0 could be taken for a missing value.
 const shortPollHold = 10 * time.Millisecond
 
-// longPollSlack is the time after its LongPollTimeout at which a long poll
-// without a response gets its first hedged request.
+// longPollSlack is the time from the LongPollTimeout of a long poll without a
+// response to its first hedged request.
 const longPollSlack = 600 * time.Millisecond
 
-// Requests of a poll at most, hedged ones included.
+// Limits on the requests of one poll, hedged requests included.
 const (
 	maxShortPollRequests = 2
 	maxLongPollRequests  = maxShortPollRequests + 1
 )
 
-// Poll is one poll of discovery. A long poll waits there for a change; a short
-// poll and a poll for the full list do not.
+// Poll is one poll of discovery. Discovery holds a long poll while nothing changes;
+// it responds at once to a short poll and to a poll for the full list.
 type Poll struct {
 	Full            bool          // for the full list; otherwise for the changes since FromVersion
 	FromVersion     uint64        // may be 0
-	LongPollTimeout time.Duration // discovery may hold the poll for so long while nothing changes
+	LongPollTimeout time.Duration // how long discovery may hold the poll while nothing changes
 	Timeout         time.Duration // for the start of the response, counted from Watcher.Next
 	StallTimeout    time.Duration // for each further part of the response
 
-	hedgeDelay time.Duration // between its requests; 0: only one
-	number     int           // from 1, unique for its Watcher; 0: no poll
+	hedgeDelay time.Duration // between the requests of this poll; 0 means a single request
+	number     int           // counts from 1 within a Watcher; 0 means no poll
 }
 
 // RequestTimes returns when to send the requests of the poll, counted from
-// Watcher.Next, for as long as none has succeeded and some are running. The
-// first request is the poll itself; the others are hedged requests, which are
-// short polls. The poll has the result of the first request to succeed, or else
-// of the last.
+// Watcher.Next. The first request is the poll itself; the others are hedged
+// requests, which are short polls. A hedged request is sent only while no request
+// has succeeded and some are still running. The result of the poll is that of the
+// first request to succeed, or else of the last to fail.
 //
-// Requests run at the same time because one that queues at the service in vain
-// must not cost the time of two, and one that is canceled loses its place in the
-// queue.
+// The requests run concurrently, so that one that queues at the service in vain does
+// not use up the time of the next, and because a canceled request loses its place in
+// the queue.
 func (p Poll) RequestTimes() []time.Duration {
 	times := []time.Duration{0}
 	if p.hedgeDelay == 0 {
@@ -59,7 +59,7 @@
 	return times
 }
 
-// isLong returns whether discovery may hold the poll.
+// isLong returns whether discovery may hold the poll for longer than a short poll.
 func (p Poll) isLong() bool { return p.LongPollTimeout > shortPollHold }
 
 // short returns the same poll as a short poll.
@@ -68,7 +68,8 @@
 	return p
 }
 
-// Query returns what follows the path in the poll's URL, with its question mark.
+// Query returns the query string of the poll's URL, with its question mark. It is
+// empty for the full list.
 func (p Poll) Query() string {
 	if p.Full {
 		return ""
