--- a/internal/discovery/recovery_test.go
+++ b/internal/discovery/recovery_test.go
@@ -8,10 +8,10 @@
 	"bankshift/balancer"
 )
 
-// seedCount is the number of random cases of each kind.
+// seedCount is the number of random cases per kind of outage or move.
 const seedCount = 150
 
-// maxSimulatedTime ends the simulation of a node that never knows version 2.
+// maxSimulatedTime limits the simulation of a node that never receives version 2.
 const maxSimulatedTime = 5 * time.Minute
 
 var drainGraces = []time.Duration{400 * time.Millisecond, 600 * time.Millisecond, time.Second, 1500 * time.Millisecond, 4 * time.Second}
@@ -26,18 +26,19 @@
 	}
 }
 
-// randomDuration returns a random time randomDuration limit.
+// randomDuration returns a random duration in [0, limit).
 func randomDuration(r *rand.Rand, limit time.Duration) time.Duration {
 	return time.Duration(r.Int63n(int64(limit)))
 }
 
-// outage is a kind of outage. Its fields are those of virtualService.
+// outage is a kind of outage. The fields that virtualService has too are documented
+// there.
 type outage struct {
 	onDemand            bool
 	failsFast           bool
 	rejects             bool
 	resetsOpen          bool
-	instant             bool // it only breaks what is open
+	instant             bool // the outage has no duration: only requests that are open fail
 	failuresAfterOutage int
 }
 
@@ -56,14 +57,15 @@
 	return all
 }
 
-// TestChangeIsKnownAfterAnOutage: whatever happens to the poll in flight as
-// discovery can be reached again, and to the next one, a change is known before
-// it counts as notified, with the drain grace still whole. Where updates are
-// pushed it counts at once, and is known within the grace.
+// TestChangeIsKnownAfterAnOutage guards against a change that is known too late
+// after an outage, whatever happens to the poll that is in flight at its end and to
+// the poll after that. On demand, the change must be known before it counts as
+// notified, with the whole drain grace left. Where updates are pushed, it counts as
+// notified at once and must be known within the drain grace.
 func TestChangeIsKnownAfterAnOutage(t *testing.T) {
 	for _, o := range outages() {
-		var worst, worstAfterLongPoll time.Duration // since discovery's return; since the end of a stalled long poll's time
-		worstExcess := -time.Hour                   // over the bound
+		var worst, worstAfterLongPoll time.Duration // since the change was available; since longPollEnd
+		worstExcess := -time.Hour                   // of the time over the bound
 		for seed := range int64(seedCount) {
 			run := newOutageRun(o, seed)
 			simulate(maxSimulatedTime, run.node)
@@ -71,7 +73,7 @@
 			bound := run.bound()
 			worstExcess = max(worstExcess, known-bound)
 			if known > bound {
-				t.Errorf("%+v, seed %d, grace %v: known %v after the return, %v past the bound", o, seed, run.settings.DrainGrace, known-run.availableAt, known-bound)
+				t.Errorf("%+v, seed %d, drain grace %v: the change is known %v after it was available, %v past the bound", o, seed, run.settings.DrainGrace, known-run.availableAt, known-bound)
 				break
 			}
 			longPollEnd := run.longPollEnd()
@@ -81,16 +83,16 @@
 				worst = max(worst, known-run.availableAt)
 			}
 		}
-		t.Logf("%+v: at most %v after the return, %v after a long poll's time; %v before the bound", o, worst, worstAfterLongPoll, -worstExcess)
+		t.Logf("%+v: the change is known at most %v after it was available, %v after the LongPollTimeout of a stalled long poll; at least %v before the bound", o, worst, worstAfterLongPoll, -worstExcess)
 	}
 }
 
-// outageRun is one node in one outage.
+// outageRun is the simulation of one node in one outage.
 type outageRun struct {
 	outage      outage
 	settings    balancer.Settings
 	node        *virtualNode
-	availableAt time.Duration // when discovery has the change and can be reached
+	availableAt time.Duration // when discovery has the change and can be reached again
 }
 
 func newOutageRun(o outage, seed int64) *outageRun {
@@ -117,15 +119,17 @@
 	}
 }
 
-// longPollEnd is the end of the time of the long poll that was open as the outage
-// began.
+// longPollEnd returns the end of the LongPollTimeout of the long poll that was open
+// when the outage began.
 func (r *outageRun) longPollEnd() time.Duration {
 	return r.node.openedAt + ScheduleFor(r.settings).LongPollTimeout
 }
 
-// bound is when the change must be known. On demand, what a stalled long poll
-// misses counts as notified 2 s after its time; with a further failure, seen at
-// once or not, the drain grace is used up as well.
+// bound returns when the change must be known. Where updates are pushed, that is a
+// drain grace after it is available. On demand, a change counts as notified 6 s
+// after it is available; one that a stalled long poll misses, 2 s after its
+// LongPollTimeout. In the latter case the drain grace is used up as well if a
+// further poll fails, at once or by a stall.
 func (r *outageRun) bound() time.Duration {
 	if !r.outage.onDemand {
 		return r.availableAt + r.settings.DrainGrace
@@ -141,9 +145,10 @@
 	return max(bound, afterLongPoll)
 }
 
-// TestChangeIsKnownAfterDiscoveryMoves: what a new discovery has counts as notified 4 s
-// after SIGHUP. The configuration may take 0.45 s to read, and two polls may
-// fail; where the old discovery is down as the signal comes, one.
+// TestChangeIsKnownAfterDiscoveryMoves guards against a list of a new discovery
+// service that is known later than 4 s after SIGHUP, when it counts as notified.
+// Reading the configuration may take 0.45 s, and two polls may fail, or one if the
+// old service is down when the signal arrives.
 func TestChangeIsKnownAfterDiscoveryMoves(t *testing.T) {
 	const limit = 4 * time.Second
 	for _, onDemand := range []bool{true, false} {
@@ -154,17 +159,19 @@
 				simulate(maxSimulatedTime, node)
 				took := node.knownAt - sighup
 				if took > limit {
-					t.Errorf("on demand %v, %d failures, seed %d: the new discovery's list is known %v after SIGHUP", onDemand, failures, seed, took)
+					t.Errorf("on demand %v, %d failures, seed %d: the new service's list is known %v after SIGHUP", onDemand, failures, seed, took)
 					break
 				}
 				worst = max(worst, took)
 			}
-			t.Logf("on demand %v, %d failures: known %v after SIGHUP at most", onDemand, failures, worst)
+			t.Logf("on demand %v, %d failures: the list is known at most %v after SIGHUP", onDemand, failures, worst)
 		}
 	}
 }
 
-// newNodeWithMovingDiscovery makes a node that moves to another discovery after SIGHUP.
+// newNodeWithMovingDiscovery returns a node that switches to another discovery
+// service, and the time of the SIGHUP that causes it. The first requests to the new
+// service fail; failures is their number.
 func newNodeWithMovingDiscovery(onDemand bool, failures int, seed int64) (node *virtualNode, sighup time.Duration) {
 	const reloadTime = 450 * time.Millisecond
 	r := rand.New(rand.NewSource(seed))
@@ -180,15 +187,15 @@
 	return node, sighup
 }
 
-// TestOnDemandPollRateIsLimited: on demand, polls are work of a shared service. At rest and
-// through an outage they stay few, and nodes that lost the service together do
-// not return together.
+// TestOnDemandPollRateIsLimited guards against polls that overload the shared
+// service on demand: too many at rest, during an outage or after it, or nodes that
+// lost the service together and poll it at the same moment when it is back.
 func TestOnDemandPollRateIsLimited(t *testing.T) {
 	const nodes = 450
 	for _, failsFast := range []bool{true, false} {
 		service := &virtualService{downAt: 70 * time.Second, upAt: 78 * time.Second, failsFast: failsFast, resetsOpen: true, changeAt: Never}
 		settings := fleetSettings(true, 1500*time.Millisecond)
-		settings.MinEventInterval = 100 * time.Millisecond // the balancers' ticks are most of this test's work
+		settings.MinEventInterval = 100 * time.Millisecond // fewer balancer ticks, which take most of this test's time
 		var all []*virtualNode
 		for i := range nodes {
 			settings.NodeIndex = i
@@ -208,10 +215,10 @@
 		for at := service.upAt; at < recovered; at += 100 * time.Millisecond {
 			peak = max(peak, service.requestsBetween(at, at+100*time.Millisecond))
 		}
-		t.Logf("fails fast %v: requests a node and minute: %.1f at rest, %.1f in the outage, %.1f in the 12 s after it, %.1f in the minute after those; most in 0.1 s of the return: %d",
+		t.Logf("fails fast %v: requests per node and minute: %.1f at rest, %.1f in the outage, %.1f in the 12 s after it, %.1f in the minute after those; peak in 0.1 s after the outage: %d",
 			failsFast, rest, during, recovery, after, peak)
 		if rest > 4 || during > 60 || after > 4 || peak > nodes/2 {
-			t.Error("too many requests, or too many at once")
+			t.Error("want at most 4 requests per node and minute at rest and after the recovery, 60 in the outage, and requests of half the nodes in 0.1 s")
 		}
 	}
 }
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -12,29 +12,28 @@
 )
 
 const (
-	maxListSize = 4 << 20          // bytes; a list of a thousand endpoints takes a twentieth
-	maxListTime = 10 * time.Second // for a list that keeps arriving, as a node must get ready
+	maxListSize = 4 << 20          // bytes; a list of 1000 endpoints takes a twentieth of this
+	maxListTime = 10 * time.Second // limit for a list that keeps arriving, because a node must become ready
 
-	// A request on a used connection that breaks sooner than this found it closed
-	// after the last response.
+	// If a reused connection breaks sooner than this after the start of a request,
+	// it counts as closed by discovery after the last response.
 	staleConnectionTime = 20 * time.Millisecond
 )
 
 var (
 	// errStalled means that a response, or the next part of it, did not come in time.
-	errStalled = errors.New("discovery stalled")
-	// errRejected means that discovery answered with another status than 200.
+	errStalled = errors.New("response of discovery timed out")
+	// errRejected means that discovery responded with a status other than 200.
 	errRejected = errors.New("discovery rejected the poll")
-	// errLongPollBroken means that the connection broke under a long poll.
-	errLongPollBroken = errors.New("long poll of discovery broken")
+	// errLongPollBroken means that the connection broke during a long poll.
+	errLongPollBroken = errors.New("connection to discovery broke during a long poll")
 	// errListTooLong means that a list has more than maxListSize bytes.
-	errListTooLong = errors.New("endpoint list too long")
+	errListTooLong = fmt.Errorf("endpoint list is longer than %d bytes", maxListSize)
 )
 
-// request makes one HTTP request of a poll. Its timeouts guard against a
-// discovery that accepts a request and then stalls. A discovery that is slow with
-// a long list is left to finish, because each further request would only begin
-// the list again.
+// request sends one HTTP request of a poll. Its timeouts guard against a discovery
+// service that accepts a request and then stalls. A long list that arrives slowly
+// may finish, because a further request would only start the list again.
 func (c *Client) request(ctx context.Context, poll Poll) (List, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -52,10 +51,10 @@
 	return list, err
 }
 
-// withoutResend has a request canceled instead of sent again. The HTTP client
-// sends a request again by itself if a reused connection breaks. For a long poll
-// that may mean to hang through an outage until its timeout, with the failure
-// unnoticed. Where updates are pushed long polls are not that long.
+// withoutResend returns a context that is canceled when the request is sent again.
+// The HTTP client resends a request by itself if a reused connection breaks. A
+// resent long poll may hang through an outage until its timeout, with the failure
+// unnoticed. Where updates are pushed, long polls are too short for this to matter.
 func (c *Client) withoutResend(ctx context.Context, cancel context.CancelCauseFunc) context.Context {
 	if c.closesConnections.Load() {
 		c.http.CloseIdleConnections()
@@ -75,7 +74,8 @@
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GetConn: beforeSend})
 }
 
-// exchange sends a request and reads the response. It cancels both if they stall.
+// exchange sends a request and reads the response. It cancels the request with
+// errStalled if either stalls.
 func (c *Client) exchange(ctx context.Context, cancel context.CancelCauseFunc, poll Poll) (List, error) {
 	stallTimer := time.AfterFunc(poll.Timeout, func() { cancel(errStalled) })
 	defer stallTimer.Stop()
@@ -102,24 +102,25 @@
 func readList(r io.Reader) (List, error) {
 	body, err := io.ReadAll(io.LimitReader(r, maxListSize+1))
 	if err != nil {
-		return List{}, fmt.Errorf("endpoint list: %w", err)
+		return List{}, fmt.Errorf("read endpoint list: %w", err)
 	}
 	if len(body) > maxListSize {
 		return List{}, errListTooLong
 	}
 	var list List
 	if err := json.Unmarshal(body, &list); err != nil {
-		return List{}, fmt.Errorf("endpoint list: %w", err)
+		return List{}, fmt.Errorf("decode endpoint list: %w", err)
 	}
 	return list, nil
 }
 
-// progressReader restarts a timer at each read, up to a deadline.
+// progressReader restarts the stall timer at each read. The timer fires at the
+// deadline at the latest.
 type progressReader struct {
 	io.Reader
 	stallTimer   *time.Timer // fires when a read takes longer than stallTimeout
 	stallTimeout time.Duration
-	deadline     time.Time // of the last read
+	deadline     time.Time // for the end of the last read
 }
 
 func (r *progressReader) Read(p []byte) (int, error) {
--- a/internal/discovery/request_test.go
+++ b/internal/discovery/request_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// TestRequestErrors: the error of a request says what happened.
+// TestRequestErrors guards against an error that hides why a request failed.
 func TestRequestErrors(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Query().Get("from") {
@@ -45,8 +45,9 @@
 	}
 }
 
-// TestBrokenLongPollIsNotSentAgain: the HTTP client must not send a long poll
-// again by itself when a reused connection breaks.
+// TestBrokenLongPollIsNotSentAgain guards against a broken long poll that goes
+// unnoticed: the HTTP client must not send it again by itself when a reused
+// connection breaks.
 func TestBrokenLongPollIsNotSentAgain(t *testing.T) {
 	longPolls := make(chan bool, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -71,6 +72,6 @@
 		t.Errorf("%d long polls arrived, want 1", len(longPolls))
 	}
 	if c.closesConnections.Load() {
-		t.Error("a connection that breaks later counts as one closed after its response")
+		t.Error("a connection that broke during a long poll counts as closed after its last response")
 	}
 }
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -8,9 +8,10 @@
 	"bankshift/balancer"
 )
 
-// TestScheduleFitsTheDrainGrace: a long poll that began to hang as an outage
-// ended, and the longest wait after it, leave a part of the drain grace for the
-// next poll.
+// TestScheduleFitsTheDrainGrace guards against a schedule that exceeds the drain
+// grace after an outage. A long poll that began to hang as the outage ended, and the
+// longest wait after it, must leave a quarter of the grace for the next poll. Two
+// failed polls and a full list must fit into the grace too.
 func TestScheduleFitsTheDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{0, 200 * time.Millisecond, 500 * time.Millisecond, time.Second, 4 * time.Second, time.Minute} {
 		s := ScheduleFor(balancer.Settings{DrainGrace: grace})
@@ -19,11 +20,11 @@
 		twoFailures := oneFailure + s.ShortPollTimeout + min(2*s.FirstBackoff*3/2, s.RetryInterval-s.ShortPollTimeout) + s.FullListTimeout
 		shortPolls := 2*s.RetryInterval + s.FullListTimeout
 		if oneFailure > want*3/4 || twoFailures > want || shortPolls > want || s.LongPollTimeout < 50*time.Millisecond {
-			t.Errorf("grace %v: %+v notices a drain after up to %v, %v or %v", grace, s, oneFailure, twoFailures, shortPolls)
+			t.Errorf("drain grace %v: %+v notices a drain up to %v after one failed poll, %v after two, %v after two short ones", grace, s, oneFailure, twoFailures, shortPolls)
 		}
 	}
 	if s := ScheduleFor(balancer.Settings{EndpointsOnDemand: true, DrainGrace: time.Second}); s.LongPollTimeout < 10*time.Second {
-		t.Errorf("on demand the service gets a poll each %v", s.LongPollTimeout)
+		t.Errorf("on-demand LongPollTimeout is %v, want at least 10s", s.LongPollTimeout)
 	}
 }
 
--- a/internal/discovery/virtual_test.go
+++ b/internal/discovery/virtual_test.go
@@ -9,8 +9,8 @@
 	"bankshift/balancer"
 )
 
-// virtualService is a discovery on a virtual clock. It has one outage, and its
-// list changes once, from version 1 to 2.
+// virtualService is a discovery service on a virtual clock. It has one outage, and
+// its list changes once, from version 1 to 2.
 type virtualService struct {
 	downAt, upAt time.Duration // the outage
 	changeAt     time.Duration
@@ -19,15 +19,15 @@
 	rejects    bool // failures that are not stalls are rejections
 	resetsOpen bool // requests that are open as the outage begins are reset; otherwise they stall
 
-	failuresAfterOutage int  // so many requests of each node still fail after the outage
-	stallsAfterOutage   bool // in that they stall; otherwise they fail at once
+	failuresAfterOutage int  // number of requests of each node that still fail after the outage
+	stallsAfterOutage   bool // those requests stall; otherwise they fail at once
 
 	requestTimes []time.Duration
 }
 
 const (
-	responseTime = 20 * time.Millisecond
-	failureTime  = time.Millisecond
+	responseTime = 20 * time.Millisecond // of a request that is not held
+	failureTime  = time.Millisecond      // of a request that fails without a stall
 )
 
 func (s *virtualService) version(at time.Duration) uint64 {
@@ -44,17 +44,17 @@
 	settings balancer.Settings
 	watcher  *Watcher
 	balancer *balancer.Balancer // nil where endpoint updates are pushed
-	timerAt  time.Duration      // of the balancer
+	timerAt  time.Duration      // when the balancer's timer fires
 
 	poll         Poll
 	polling      bool
 	pollEnd      time.Duration
 	willSucceed  bool
-	lastRejected bool // the last request will be rejected
+	lastRejected bool // the last request fails at once, which is a rejection if the service rejects
 
-	openedAt time.Duration // start of the request that was open as the outage began
-	failures int           // after the outage
-	knownAt  time.Duration // when it had version 2
+	openedAt time.Duration // start of the request that was open when the outage began
+	failures int           // requests that failed after the outage
+	knownAt  time.Duration // when it received version 2
 
 	moveAt time.Duration // when it moves to another service
 	moveTo *virtualService
@@ -79,7 +79,8 @@
 	return n
 }
 
-// handle passes an event to the balancer and does what it asks of discovery.
+// handle passes an event to the balancer and applies the actions that concern
+// discovery or the timer.
 func (n *virtualNode) handle(now time.Duration, event balancer.Event) {
 	if n.balancer == nil {
 		return
@@ -102,8 +103,8 @@
 	}
 }
 
-// startPoll settles how a poll will end: with its first request that succeeds,
-// or with the last.
+// startPoll computes how and when a poll will end: with its first request that
+// succeeds, or else with the last to fail.
 func (n *virtualNode) startPoll(now time.Duration, poll Poll) {
 	n.poll = poll
 	n.polling = true
@@ -111,7 +112,7 @@
 	n.pollEnd = now
 	for i, after := range poll.RequestTimes() {
 		at := now + after
-		hasResult := n.willSucceed || i > 0 && n.pollEnd < now+poll.Timeout // or none is running any more
+		hasResult := n.willSucceed || i > 0 && n.pollEnd < now+poll.Timeout // or no request is running any more
 		if at >= n.pollEnd && hasResult {
 			break
 		}
@@ -129,7 +130,7 @@
 	}
 }
 
-// sendRequest settles whether a request succeeds, and when it ends.
+// sendRequest computes whether a request will succeed and when it will end.
 func (n *virtualNode) sendRequest(now time.Duration, poll Poll, timeout time.Duration) (ok bool, end time.Duration) {
 	s := n.service
 	s.requestTimes = append(s.requestTimes, now)
@@ -141,7 +142,7 @@
 	case now >= s.upAt && n.failures < s.failuresAfterOutage:
 		n.failures++
 		return false, n.failureEnd(now, timeout, !s.stallsAfterOutage)
-	case now < s.downAt && end > s.downAt: // open as the outage begins
+	case now < s.downAt && end > s.downAt: // open when the outage begins
 		n.openedAt = now
 		if s.resetsOpen {
 			return false, s.downAt + failureTime
@@ -154,7 +155,7 @@
 	}
 }
 
-// responseEnd returns when the service, if it is up, ends its response.
+// responseEnd returns when the response to a request ends if the service is up.
 func (n *virtualNode) responseEnd(now time.Duration, poll Poll) time.Duration {
 	s := n.service
 	held := !poll.Full && poll.FromVersion == s.version(now)
@@ -168,6 +169,7 @@
 	return now + responseTime + poll.LongPollTimeout
 }
 
+// failureEnd returns when a failing request ends, and sets lastRejected.
 func (n *virtualNode) failureEnd(now, timeout time.Duration, fast bool) time.Duration {
 	n.lastRejected = fast
 	if fast {
@@ -176,7 +178,7 @@
 	return timeout
 }
 
-// step does what is due and sets dueAt.
+// step processes all that is due and sets dueAt.
 func (n *virtualNode) step(now time.Duration) {
 	if now >= n.moveAt {
 		n.move(now)
@@ -198,6 +200,7 @@
 	}
 }
 
+// move switches to the service moveTo, with a new Watcher.
 func (n *virtualNode) move(now time.Duration) {
 	n.service = n.moveTo
 	n.failures = 0
@@ -226,15 +229,17 @@
 	}
 }
 
+// byDue is a heap of nodes, ordered by dueAt.
 type byDue []*virtualNode
 
 func (b byDue) Len() int           { return len(b) }
 func (b byDue) Less(i, j int) bool { return b[i].dueAt < b[j].dueAt }
 func (b byDue) Swap(i, j int)      { b[i], b[j] = b[j], b[i] }
 func (b *byDue) Push(x any)        { *b = append(*b, x.(*virtualNode)) }
-func (b *byDue) Pop() any          { panic("nodes stay") }
+func (b *byDue) Pop() any          { panic("nodes are never removed from the heap") }
 
-// simulate runs nodes until a time. A single node ends when it knows version 2.
+// simulate runs nodes until a time. The simulation of a single node stops early once
+// it has received version 2.
 func simulate(until time.Duration, nodes ...*virtualNode) {
 	queue := byDue(slices.Clone(nodes))
 	heap.Init(&queue)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -2,55 +2,55 @@
 
 import "time"
 
-// longPollTimeoutAfterRejection is the LongPollTimeout after a rejection. It is short enough
-// for a stall of discovery to be noticed within 6 s.
+// longPollTimeoutAfterRejection is the LongPollTimeout of the poll after a
+// rejection. It is short enough for a stall of discovery to be noticed within 6 s.
 const longPollTimeoutAfterRejection = 2 * time.Second
 
 // A long poll whose response comes early and without a change was not held. The
-// next poll waits then, as it would otherwise be a busy loop.
+// next poll is delayed then, to avoid a busy loop.
 const (
 	notHeldDivisor = 100 // responses within LongPollTimeout/notHeldFraction are early
 	notHeldDelay   = 100 * time.Millisecond
 )
 
-// Waits are multiplied by a factor from minJitter to maxJitter.
+// The wait after a failure is multiplied by a random factor from minJitter to maxJitter.
 const (
 	minJitter = 0.5
 	maxJitter = 1.5
 )
 
-// Watcher decides when discovery is polled, and for what. It does no I/O and
-// reads no clock: its caller makes the poll that Next returns and reports the
-// result by Succeeded, Failed or Rejected. All times are readings of the
-// caller's monotonic clock.
+// Watcher decides when discovery is polled, and for what. It does no I/O and reads
+// no clock: its caller sends the poll that Next returns and reports the result by
+// Succeeded, Failed or Rejected. All times are readings of the caller's monotonic
+// clock.
 //
-// A Watcher follows the changes from the last version that it has. Without one
-// it begins with the full list, because versions of another discovery mean
-// nothing to this one. It is not safe for concurrent use.
+// A Watcher polls for the changes since the last version that it received. Without
+// one it starts with the full list, because versions of another discovery service
+// are not valid for this one. It is not safe for concurrent use.
 type Watcher struct {
 	schedule PollSchedule
 	random   func() float64 // in [0,1)
 
-	version    uint64 // last one taken
+	version    uint64 // of the last list whose result counted
 	hasVersion bool
 
 	fetch      bool // the full list is wanted once
-	subscribed bool // the changes are wanted from then on
+	subscribed bool // the changes are wanted continuously
 	shortNext  bool // the next poll is short: it follows a failure or a Request
 
-	inFlight  Poll // with number 0: none
-	polls     int  // so far
-	startedAt time.Duration
-	nextAt    time.Duration // the next poll starts no sooner
+	inFlight  Poll          // number 0 if there is none
+	polls     int           // number of polls returned by Next
+	startedAt time.Duration // of the last poll
+	nextAt    time.Duration // earliest start of the next poll
 
 	failures    int           // in a row
-	rejected    bool          // the last failure was a response: discovery can be reached
-	recoveredAt time.Duration // of the last success after a failure
-	backoff     time.Duration // after the next failure, before jitter
+	rejected    bool          // the last failure was a rejection of an on-demand poll, so discovery can be reached
+	recoveredAt time.Duration // time of the last success after a failure
+	backoff     time.Duration // wait after the next failure, before jitter
 }
 
-// NewWatcher makes a Watcher. Random is its source of jitter, in [0,1). On
-// demand it polls only after Request.
+// NewWatcher returns a Watcher. random is the source of jitter and returns values in
+// [0,1). With an on-demand schedule the Watcher polls only after Request.
 func NewWatcher(schedule PollSchedule, random func() float64) *Watcher {
 	return &Watcher{
 		schedule:   schedule,
@@ -60,9 +60,9 @@
 	}
 }
 
-// Next returns the poll that is due, which is in flight from then on. With none
-// due, ok is false and at is the time of the next call of Next. Never stands for
-// the next Request, Succeeded, Failed or Rejected.
+// Next returns the poll that is due, which is in flight from then on. If none is
+// due, ok is false and at is when to call Next again; Never means after the next
+// Request, Succeeded, Failed or Rejected.
 func (w *Watcher) Next(now time.Duration) (poll Poll, at time.Duration, ok bool) {
 	if w.inFlight.number != 0 || !w.fetch && !w.subscribed {
 		return Poll{}, Never, false
@@ -88,8 +88,8 @@
 		poll.FromVersion = w.version
 		poll.LongPollTimeout, poll.Timeout = w.pollTimeouts()
 	}
-	// Any other poll follows a failure. Many nodes may do that at once, and must
-	// not poll twice as often then.
+	// Any other poll follows a failure and is not hedged: many nodes may fail at
+	// once, and hedged requests would double their load on the service.
 	if poll.isLong() || w.fetch {
 		poll.hedgeDelay = w.schedule.HedgeDelay
 	}
@@ -110,12 +110,14 @@
 	}
 }
 
-// Request sets what is wanted on demand: the full list once, the changes from
-// then on, both or neither. It returns whether the poll in flight is to be
-// canceled because its result no longer counts. The next poll is short, so that
-// its response comes at once; if only the changes are wanted and a short poll
-// for them is in flight, that one goes on. A Watcher that follows the list by
-// itself does so whatever subscribe is.
+// Request sets what is wanted: the full list once (fetch), the changes from then on
+// (subscribe), both or neither. It returns whether the poll in flight must be
+// canceled because its result no longer counts. The next poll is short, so that its
+// response comes at once.
+//
+// If only the changes are wanted, and were wanted before, a poll in flight that is
+// not a long poll goes on. Without an on-demand schedule, the Watcher polls for
+// changes whatever subscribe is.
 func (w *Watcher) Request(now time.Duration, fetch, subscribe bool) (cancel bool) {
 	polling := w.inFlight.number != 0
 	if polling && !w.inFlight.isLong() && !fetch && subscribe && w.subscribed {
@@ -129,10 +131,11 @@
 	return polling
 }
 
-// Succeeded takes the version of a poll's result. It returns whether the result
-// counts: that of a poll which Request has canceled does not.
+// Succeeded records the result of a poll. It returns whether the result counts; that
+// of a poll that Request has canceled does not.
 //
-// The next poll is due at once, so that discovery takes the polls for one watch.
+// The next poll is due at once, so that discovery treats consecutive polls as one
+// watch.
 func (w *Watcher) Succeeded(now time.Duration, poll Poll, list List) bool {
 	if !w.isInFlight(poll) {
 		return false
@@ -157,10 +160,10 @@
 	return poll.number != 0 && poll.number == w.inFlight.number
 }
 
-// Failed takes the failure of a poll. It returns whether the failure is to be
-// reported. On demand each failure is, and the Watcher waits for the next
-// Request. Otherwise only the first of an outage is, and the Watcher retries
-// after a jittered wait.
+// Failed records the failure of a poll and returns whether to report it. On demand
+// each failure is reported, and the Watcher waits for the next Request. Otherwise
+// only the first failure of an outage is reported, and the Watcher retries after a
+// jittered wait.
 func (w *Watcher) Failed(now time.Duration, poll Poll) bool {
 	if !w.isInFlight(poll) {
 		return false
@@ -178,10 +181,10 @@
 	return w.failures == 1
 }
 
-// scheduleRetry sets the time of the poll after a failed one. The wait doubles
-// with each failure, within the RetryInterval. It does not begin anew for an
-// outage soon after the last: polls that keep breaking after a first success are
-// no better than polls that never succeed.
+// scheduleRetry sets the time of the poll after a failed one. The backoff doubles
+// with each failure, up to RetryInterval. A failure within RetryInterval of the last
+// recovery does not reset it: polls that keep breaking after a first success are no
+// better than polls that never succeed.
 func (w *Watcher) scheduleRetry(now time.Duration, poll Poll) {
 	if w.failures == 1 && now-w.recoveredAt >= w.schedule.RetryInterval {
 		w.backoff = w.schedule.FirstBackoff
@@ -196,10 +199,10 @@
 	w.backoff = min(2*w.backoff, w.schedule.RetryInterval)
 }
 
-// Rejected is Failed for a poll that discovery rejected by a response, so it can
-// be reached. On demand the next poll may then be held for a while. It is a long
-// poll at once, and does not queue a second time for a response that others
-// still wait for.
+// Rejected is Failed for a poll that discovery rejected by a response, which shows
+// that it can be reached. On demand the next poll is then a long poll at once, with
+// a LongPollTimeout of longPollTimeoutAfterRejection. A short poll before it would
+// make the node queue a second time while others still wait for their response.
 func (w *Watcher) Rejected(now time.Duration, poll Poll) bool {
 	report := w.Failed(now, poll)
 	w.rejected = report && w.schedule.OnDemand
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -9,11 +9,13 @@
 	"bankshift/balancer"
 )
 
-// noJitter makes each wait as long as it is without jitter.
+// noJitter is a random source that leaves each wait as it is without jitter.
 func noJitter() float64 { return 0.5 }
 
-// TestWatcherPollsContinuously: the first poll is for the full list, and a long
-// poll follows without a pause. Only the first failure of an outage is reported.
+// TestWatcherPollsContinuously guards against a Watcher that polls for the wrong
+// version, pauses after a success or reports more than the first failure of an
+// outage. The first poll is for the full list, and a long poll follows without a
+// pause.
 func TestWatcherPollsContinuously(t *testing.T) {
 	w := NewWatcher(ScheduleFor(balancer.Settings{DrainGrace: time.Second}), noJitter)
 	now := time.Hour
@@ -38,7 +40,7 @@
 	w.Succeeded(now, poll, List{Version: 41}) // was not held
 	_, at, ok := w.Next(now)
 	if ok || at != now+notHeldDelay {
-		t.Errorf("a discovery that holds no polls is polled again after %v, %v", at-now, ok)
+		t.Errorf("after a long poll that was not held, the next poll is due after %v, %v, want 100ms, false", at-now, ok)
 	}
 
 	now = at
@@ -47,7 +49,7 @@
 		t.Error("the first failure is not reported")
 	}
 	if _, at, ok = w.Next(now); ok || at <= now {
-		t.Error("no wait after a failure")
+		t.Error("the next poll does not wait after a failure")
 	}
 	now = at
 	if poll, _, ok = w.Next(now); !ok || poll.FromVersion != 41 {
@@ -58,18 +60,18 @@
 	}
 }
 
-// TestWatcherOnDemand: a Watcher polls only after Request. The result of a poll
-// that Request has canceled does not count.
+// TestWatcherOnDemand guards against polls without a Request, and against results
+// that count though Request has canceled their poll.
 func TestWatcherOnDemand(t *testing.T) {
 	w := NewWatcher(ScheduleFor(balancer.Settings{EndpointsOnDemand: true, DrainGrace: time.Second}), noJitter)
 	now := time.Hour
 	if _, at, ok := w.Next(now); ok || at != Never {
-		t.Error("a poll without a Request")
+		t.Error("a poll is due without a Request")
 	}
 	w.Request(now, true, true)
 	poll, _, _ := w.Next(now)
 	if _, _, ok := w.Next(now); w.Request(now, false, true) || ok {
-		t.Error("a poll that brings what is wanted does not go on")
+		t.Error("a poll in flight that brings what is wanted is canceled, or a second one is due")
 	}
 	if !w.Request(now, true, true) {
 		t.Error("a poll whose result no longer counts is not canceled")
@@ -86,7 +88,7 @@
 		t.Errorf("long poll %+v, %v", poll, ok)
 	}
 	if _, at, ok := w.Next(now); ok || at != Never {
-		t.Error("after a failure the watch goes on by itself")
+		t.Error("a poll is due after a failure without a new Request")
 	}
 	w.Request(now, false, true)
 	if poll, _, ok = w.Next(now); !ok || poll.FromVersion != 8 || poll.isLong() {
@@ -97,16 +99,16 @@
 		t.Errorf("after a success %+v, %v, want a long poll", poll, ok)
 	}
 	if !w.Request(now, false, false) {
-		t.Error("the poll of an ended watch is not canceled")
+		t.Error("the poll in flight is not canceled at the end of the subscription")
 	}
 	if _, _, ok = w.Next(now); ok {
-		t.Error("an ended watch goes on")
+		t.Error("a poll is due after the end of the subscription")
 	}
 }
 
-// TestVersionZeroIsAVersion: a list that has not changed yet may have version 0.
-// It gets a long poll like any other version, and not the full list again and
-// again.
+// TestVersionZeroIsAVersion guards against requesting the full list again and again
+// where the list has version 0. A list that has not changed yet may have that
+// version and gets a long poll like any other.
 func TestVersionZeroIsAVersion(t *testing.T) {
 	for _, onDemand := range []bool{false, true} {
 		w := NewWatcher(ScheduleFor(balancer.Settings{EndpointsOnDemand: onDemand, DrainGrace: time.Second}), noJitter)
@@ -122,9 +124,9 @@
 	}
 }
 
-// TestPollAfterARejectionIsLong: after a rejection the next poll is held, for a
-// time that fits into 6 s, and the one after its success for the usual time.
-// After any other failure the next poll is short.
+// TestPollAfterARejectionIsLong guards against a short poll after a rejection and a
+// long poll after any other failure. The poll after a rejection is held for a time
+// that fits into 6 s, and the poll after its success for the usual time.
 func TestPollAfterARejectionIsLong(t *testing.T) {
 	schedule := ScheduleFor(balancer.Settings{EndpointsOnDemand: true, DrainGrace: time.Second})
 	for _, rejected := range []bool{true, false} {
@@ -139,7 +141,7 @@
 		} else {
 			w.Failed(now, poll)
 		}
-		w.Request(now, false, true) // as the balancer does
+		w.Request(now, false, true) // as the balancer does after a failure
 		poll, _, ok := w.Next(now)
 		if !ok || poll.FromVersion != 7 || poll.isLong() != rejected {
 			t.Errorf("rejected %v: the next poll is %+v", rejected, poll)
