--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,5 +1,5 @@
-// Package loadreport names the values of an endpoint's load report, as endpoints
-// and the simulator name them.
+// Package loadreport maps the value names in load reports of endpoints and the
+// simulator to the fields of balancer.LoadReport.
 package loadreport
 
 import (
@@ -8,8 +8,8 @@
 	"bankshift/balancer"
 )
 
-// SetField sets the value of a load report that endpoints and the simulator
-// call by this name. It returns whether the name is known.
+// SetField sets the field of report to which a value name of endpoints or the
+// simulator refers. It returns whether the name is known.
 func SetField(report *balancer.LoadReport, name string, value float64) bool {
 	switch name {
 	case "active", "inflight":
--- a/internal/loadreport/loadreport_test.go
+++ b/internal/loadreport/loadreport_test.go
@@ -7,6 +7,8 @@
 	"bankshift/balancer"
 )
 
+// TestSetField guards against a value name that sets the wrong field, and against an
+// unknown name that sets any.
 func TestSetField(t *testing.T) {
 	for _, c := range []struct {
 		names []string
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,7 +1,7 @@
-// Package logsink keeps a log that is not read from stopping the program that
-// writes it. A write to a pipe whose reader has stopped reading blocks for as long
-// as that lasts; what is logged then is kept up to a limit, and dropped and counted
-// beyond it.
+// Package logsink prevents a log that is not read from blocking the program that
+// writes it. A write to a pipe blocks while the pipe's reader does not read. Lines
+// that are logged meanwhile are buffered up to a limit; those beyond it are dropped
+// and counted.
 package logsink
 
 import (
@@ -13,49 +13,49 @@
 )
 
 const (
-	maxPendingBytes = 64 << 10              // of lines that are not written yet
-	writeWait       = 10 * time.Millisecond // how long Write waits for its line to be written
-	asyncTime       = time.Second           // after a stall, in which Write does not wait at all
+	maxPendingBytes = 64 << 10              // limit for lines that are not written yet
+	writeWait       = 10 * time.Millisecond // how long Write waits at most for its line to be written
+	asyncTime       = time.Second           // how long Write does not wait at all after a stall
 )
 
-// Writer passes lines on to another writer in a goroutine of its own. As long as
-// that writer takes them, Write returns once its line is written, so that a crash
-// loses none. When it has once taken longer than 10 ms, Write waits no more until
-// all pending lines are written and a second has passed.
+// Writer passes lines on to another writer, out, from a goroutine of its own. As
+// long as out accepts them in time, Write returns once its line is written, so that
+// a crash loses no line. After a line has taken longer than 10 ms, Write does not
+// wait until all pending lines are written and another second has passed.
 type Writer struct {
 	out   io.Writer
 	wake  chan struct{} // has a value when there may be pending lines
 	now   func() time.Time
 	after func(time.Duration) <-chan time.Time
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	pending      []line     // oldest first; the first may be being written
 	pendingBytes int
-	dropped      int       // lines that were lost and are not reported yet
+	dropped      int       // number of dropped lines that are not reported yet
 	stalled      bool      // a line was not written in time, and lines are pending since
-	asyncUntil   time.Time // Write does not wait before
+	asyncUntil   time.Time // Write does not wait before this time
 }
 
-// line is one call of Write.
+// line holds the text of one call of Write.
 type line struct {
 	text    []byte
-	written chan struct{} // closed when out has returned
+	written chan struct{} // closed when out.Write has returned
 }
 
-// New returns a Writer that passes lines on to out for ever.
+// New returns a Writer that passes lines on to out. Its goroutine never ends.
 func New(out io.Writer) *Writer {
 	w := newWriter(out)
 	go w.run()
 	return w
 }
 
-// newWriter returns a Writer that does not write yet.
+// newWriter returns a Writer whose goroutine is not started.
 func newWriter(out io.Writer) *Writer {
 	return &Writer{out: out, wake: make(chan struct{}, 1), now: time.Now, after: time.After}
 }
 
-// Write takes one line, or drops it if too much is pending. It keeps no part of p,
-// blocks for 10 ms at most, and its error is always nil.
+// Write queues one line, or drops it if too much is pending. It does not retain p,
+// blocks for 10 ms at most and always returns a nil error.
 func (w *Writer) Write(p []byte) (int, error) {
 	l, wait := w.enqueue(p)
 	if wait && !w.awaitWritten(l, writeWait) {
@@ -64,7 +64,8 @@
 	return len(p), nil
 }
 
-// enqueue adds a line. It reports whether the caller should wait until it is
+// enqueue adds a line to the pending ones, or drops it if they would exceed
+// maxPendingBytes. It reports whether the caller should wait until the line is
 // written.
 func (w *Writer) enqueue(p []byte) (l line, wait bool) {
 	w.mu.Lock()
@@ -83,8 +84,8 @@
 	return l, !w.stalled && !w.now().Before(w.asyncUntil)
 }
 
-// awaitWritten waits until the line is written, for a limited time. It reports
-// whether it is.
+// awaitWritten waits for a line to be written, up to a time limit. It reports
+// whether the line is written.
 func (w *Writer) awaitWritten(l line, limit time.Duration) bool {
 	select {
 	case <-l.written:
@@ -94,15 +95,16 @@
 	}
 }
 
-// noteStall records that a line has not been written in time.
+// noteStall records that a line was not written in time, unless all lines are
+// written by now.
 func (w *Writer) noteStall() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stalled = len(w.pending) > 0
 }
 
-// Flush waits until all lines are written that Write has taken, for a limited time.
-// It reports whether they are.
+// Flush waits until all lines that Write has queued so far are written, up to a time
+// limit. It reports whether they are.
 func (w *Writer) Flush(limit time.Duration) bool {
 	w.mu.Lock()
 	if len(w.pending) == 0 {
@@ -114,7 +116,7 @@
 	return w.awaitWritten(last, limit)
 }
 
-// run writes pending lines.
+// run writes pending lines and reports dropped ones.
 func (w *Writer) run() {
 	for range w.wake {
 		for w.writeFirst() {
@@ -133,7 +135,7 @@
 	first := w.pending[0]
 	w.mu.Unlock()
 
-	w.out.Write(first.text) // with an error nobody reads it, and nobody can be told
+	w.out.Write(first.text) // an error is ignored: the log has no reader, so there is nowhere to report it
 
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -150,7 +152,7 @@
 	return true
 }
 
-// reportDropped logs how many lines were lost, if any were.
+// reportDropped logs the number of dropped lines, if there are any.
 func (w *Writer) reportDropped() {
 	w.mu.Lock()
 	dropped := w.dropped
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// testTimeout limits what a test waits for; a passing test takes far less.
+// testTimeout limits each wait of a test; a passing test takes far less.
 const testTimeout = 30 * time.Second
 
-// gatedWriter takes a line only when the test lets it.
+// gatedWriter blocks each Write until the test releases it.
 type gatedWriter struct {
 	begun   chan bool // receives a value as each Write begins
-	release chan bool // lets one Write go on with each value
+	release chan bool // each value lets one Write proceed
 	got     bytes.Buffer
 }
 
@@ -33,12 +33,12 @@
 	select {
 	case <-c:
 	case <-time.After(testTimeout):
-		t.Fatal("nothing is written")
+		t.Fatal("timed out waiting for a Write to begin")
 	}
 }
 
-// stalledWriter returns a Writer whose clock the test moves. The waits of Write are
-// counted. All waits end at once, as if the line were not written in time.
+// stalledWriter returns a Writer whose clock is *now. It counts the waits of Write
+// in *waits. All waits time out at once, as if the line were not written in time.
 func stalledWriter(out *gatedWriter, now *time.Time, waits *int) *Writer {
 	w := newWriter(out)
 	w.now = func() time.Time { return *now }
@@ -53,7 +53,8 @@
 	return w
 }
 
-// TestWrittenBeforeWriteReturns: a crash right behind a line does not lose it.
+// TestWrittenBeforeWriteReturns guards against the loss of a line by a crash right
+// after it was logged.
 func TestWrittenBeforeWriteReturns(t *testing.T) {
 	var out bytes.Buffer
 	w := newWriter(&out)
@@ -67,12 +68,13 @@
 		}
 	}
 	if !w.Flush(testTimeout) {
-		t.Error("not flushed though all is written")
+		t.Error("Flush reports false though all lines are written")
 	}
 }
 
-// TestStall: out takes nothing. One line is waited for, what is kept is bounded,
-// and the loss is reported once out takes lines again.
+// TestStall guards against a program that blocks or uses more and more memory while
+// its log is not read. Write waits for one line only, the pending lines are limited,
+// and the number of dropped lines is reported once out accepts lines again.
 func TestStall(t *testing.T) {
 	const lines, lineSize = 10_000, 100
 	const kept = maxPendingBytes / lineSize
@@ -83,13 +85,13 @@
 		fmt.Fprintf(w, "%*d\n", lineSize-1, i)
 	}
 	if waits != 1 {
-		t.Errorf("%d lines are waited for, want 1", waits)
+		t.Errorf("Write waited for %d lines, want 1", waits)
 	}
 	if w.pendingBytes > maxPendingBytes {
-		t.Errorf("%d bytes are kept", w.pendingBytes)
+		t.Errorf("%d bytes are pending, want at most 64 KiB", w.pendingBytes)
 	}
 	if w.Flush(time.Second) {
-		t.Error("flushed though nothing is written")
+		t.Error("Flush reports true though nothing is written")
 	}
 	go w.run()
 	for range kept + 1 {
@@ -97,20 +99,21 @@
 		out.release <- true
 	}
 	w.after = time.After
-	fmt.Fprintln(w, "a later line") // is written behind the report
+	fmt.Fprintln(w, "a later line") // is written after the report of dropped lines
 	receive(t, out.begun)
 	out.release <- true
 	if !w.Flush(testTimeout) {
-		t.Fatal("not flushed")
+		t.Fatal("Flush reports false though out accepts lines again")
 	}
 	got := strings.Split(out.got.String(), "\n")
 	want := fmt.Sprintf("msg=\"log lines lost\" lines=%d", lines-kept)
 	if len(got) != kept+3 || !strings.HasSuffix(got[kept], want) {
-		t.Errorf("%d lines are written, and behind those kept %q; want %d and %q", len(got)-1, got[kept], kept+2, want)
+		t.Errorf("%d lines are written, with %q after the kept ones; want %d and %q", len(got)-1, got[kept], kept+2, want)
 	}
 }
 
-// TestShortStalls: out stalls again and again. One line in a second is waited for.
+// TestShortStalls guards against a program that is slowed down by a log that stalls
+// again and again for a short time. Write waits for at most one line per second.
 func TestShortStalls(t *testing.T) {
 	out := newGatedWriter()
 	now, waits := time.Now(), 0
@@ -131,6 +134,6 @@
 		}
 	}
 	if limit := 1 + int(stalls*stallTime/asyncTime); waits > limit {
-		t.Errorf("%d lines are waited for, want at most %d", waits, limit)
+		t.Errorf("Write waited for %d lines, want at most %d", waits, limit)
 	}
 }
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,5 +1,5 @@
-// Package sockets holds what both sides of a node, the one to clients and the
-// one to endpoints, ask of a socket and of the errors that come from one.
+// Package sockets inspects connections and classifies the errors of sockets, for the
+// connections to clients and to endpoints.
 package sockets
 
 import (
@@ -10,9 +10,10 @@
 	"time"
 )
 
-// Peek reports what a read of c would find at once, and consumes nothing: one
-// byte (1 and no error), the end of the connection (0 and no error), or an
-// error, which is EAGAIN if there is nothing to read.
+// Peek reports what a read of c would return now, without consuming data: n is 1 if
+// a byte can be read, and 0 with a nil error at the end of the connection. The error
+// is EAGAIN if there is nothing to read, and errors.ErrUnsupported if c is not a
+// socket.
 func Peek(c net.Conn) (n int, err error) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -49,7 +50,7 @@
 }
 
 // Closed reports whether the results of Peek show that the peer has ended the
-// connection, or that it is broken.
+// connection or that the connection is broken.
 func Closed(n int, err error) bool {
 	if err == nil {
 		return n == 0
@@ -80,8 +81,8 @@
 	return false
 }
 
-// Sleep waits for d, as between two tries of an operation on a socket. It
-// reports false as soon as ctx ends before that.
+// Sleep waits for d, such as between two tries of an operation on a socket. It
+// returns false early if ctx ends before that.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -6,7 +6,9 @@
 	"testing"
 )
 
-// TestClosed: a connection that has ended or broken shows in all the ways of recv(2).
+// TestClosed guards against an ended or broken connection that counts as open, for
+// each way in which recv(2) reports it, and against a temporary error that counts as
+// the end.
 func TestClosed(t *testing.T) {
 	for _, c := range []struct {
 		n    int
--- a/internal/sockets/tcpinfo.go
+++ b/internal/sockets/tcpinfo.go
@@ -8,11 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// SinceLastReceived returns how long ago the last data came to c, be it read or
-// not, by the kernel's account of the connection (TCP_INFO, tcp(7)). It is exact
-// to the kernel's tick, which is 10 ms at most. It returns 0 where there is no
-// such account: c is not TCP, has been closed on this side, or is carried by a
-// network stack that does not keep this figure.
+// SinceLastReceived returns the time since c last received data, read or unread,
+// according to the kernel (TCP_INFO, see tcp(7)). Its resolution is the kernel tick,
+// 10 ms at most. It returns 0 if there is no TCP_INFO: c is not TCP, has been closed
+// on this side, or is carried by a network stack that does not keep this figure.
 func SinceLastReceived(c net.Conn) time.Duration {
 	info := tcpInfo(c)
 	if info == nil {
@@ -21,9 +20,9 @@
 	return time.Duration(info.Last_data_recv) * time.Millisecond
 }
 
-// PeerClosed reports whether the peer has ended the connection or reset it, by the
-// kernel's account. It shows also where data stands before the end that has not
-// been read, which Peek would find. It reports false where there is no account.
+// PeerClosed reports whether the peer has ended the connection or reset it,
+// according to TCP_INFO. Unlike Peek, it also detects an end behind data that has
+// not been read. It returns false if there is no TCP_INFO.
 func PeerClosed(c net.Conn) bool {
 	info := tcpInfo(c)
 	if info == nil {
@@ -32,7 +31,7 @@
 	return info.State == unix.BPF_TCP_CLOSE_WAIT || info.State == unix.BPF_TCP_CLOSE
 }
 
-// tcpInfo returns the kernel's account of c, nil if there is none.
+// tcpInfo returns the TCP_INFO of c, or nil if there is none.
 func tcpInfo(c net.Conn) *unix.TCPInfo {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -43,7 +42,7 @@
 		return nil
 	}
 	var info *unix.TCPInfo
-	raw.Control(func(fd uintptr) { // its error means that c was closed on this side
+	raw.Control(func(fd uintptr) { // an error means that c was closed on this side; info is nil then
 		info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	})
 	if err != nil {
--- a/internal/sockets/tcpinfo_test.go
+++ b/internal/sockets/tcpinfo_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// TestSinceLastReceived: time that data has spent unread counts, in the listener's
-// queue too. What is not TCP has no such time.
+// TestSinceLastReceived guards against leaving out the time that data waits unread,
+// also while its connection is in the accept queue of the listener. A connection
+// that is not TCP must yield 0.
 func TestSinceLastReceived(t *testing.T) {
 	const wait = 100 * time.Millisecond
-	const tick = 10 * time.Millisecond // the longest of the kernel
+	const tick = 10 * time.Millisecond // the longest kernel tick
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
