--- a/internal/discovery/recovery_test.go
+++ b/internal/discovery/recovery_test.go
@@ -60,8 +60,9 @@
 // TestChangeIsKnownAfterAnOutage guards against a change that is known too late
 // after an outage, whatever happens to the poll that is in flight at its end and to
 // the poll after that. On demand, the change must be known before it counts as
-// notified, with the whole drain grace left. Where updates are pushed, it counts as
-// notified at once and must be known within the drain grace.
+// notified, with the whole drain grace left; outageRun.bound describes the
+// exception. Where updates are pushed, it counts as notified at once and must be
+// known within the drain grace.
 func TestChangeIsKnownAfterAnOutage(t *testing.T) {
 	for _, o := range outages() {
 		var worst, worstAfterLongPoll time.Duration // since the change was available; since longPollEnd
@@ -187,9 +188,9 @@
 	return node, sighup
 }
 
-// TestOnDemandPollRateIsLimited guards against polls that overload the shared
-// service on demand: too many at rest, during an outage or after it, or nodes that
-// lost the service together and poll it at the same moment when it is back.
+// TestOnDemandPollRateIsLimited guards against on-demand polls that overload the
+// shared service: too many at rest, during an outage or after it, or nodes that lost
+// the service together and poll it at the same moment when it is back.
 func TestOnDemandPollRateIsLimited(t *testing.T) {
 	const nodes = 450
 	for _, failsFast := range []bool{true, false} {
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -33,7 +33,8 @@
 
 // request sends one HTTP request of a poll. Its timeouts guard against a discovery
 // service that accepts a request and then stalls. A long list that arrives slowly
-// may finish, because a further request would only start the list again.
+// may take up to maxListTime, because a further request would only start the list
+// again.
 func (c *Client) request(ctx context.Context, poll Poll) (List, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -14,7 +14,7 @@
 const (
 	onDemandLongPollTimeout  = 20 * time.Second
 	onDemandResponseTimeout  = 2300 * time.Millisecond // a hedged request may have to queue at the service
-	onDemandShortPollTimeout = 2 * time.Second         // polls queue at the service; a sooner one would only queue anew
+	onDemandShortPollTimeout = 2 * time.Second         // polls queue at the service; one sent sooner only queues anew
 	hedgeDelay               = 800 * time.Millisecond
 )
 
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -9,7 +9,7 @@
 // A long poll whose response comes early and without a change was not held. The
 // next poll is delayed then, to avoid a busy loop.
 const (
-	notHeldDivisor = 100 // responses within LongPollTimeout/notHeldFraction are early
+	notHeldDivisor = 100 // responses within LongPollTimeout/notHeldDivisor are early
 	notHeldDelay   = 100 * time.Millisecond
 )
 
@@ -113,7 +113,7 @@
 // Request sets what is wanted: the full list once (fetch), the changes from then on
 // (subscribe), both or neither. It returns whether the poll in flight must be
 // canceled because its result no longer counts. The next poll is short, so that its
-// response comes at once.
+// response comes at once; Rejected describes the exception.
 //
 // If only the changes are wanted, and were wanted before, a poll in flight that is
 // not a long poll goes on. Without an on-demand schedule, the Watcher polls for
@@ -181,10 +181,11 @@
 	return w.failures == 1
 }
 
-// scheduleRetry sets the time of the poll after a failed one. The backoff doubles
-// with each failure, up to RetryInterval. A failure within RetryInterval of the last
-// recovery does not reset it: polls that keep breaking after a first success are no
-// better than polls that never succeed.
+// scheduleRetry sets the time of the poll after a failed one. The wait doubles with
+// each failure, but the next poll starts within RetryInterval of the start of a
+// failed short poll. A failure within RetryInterval of the last recovery does not
+// reset the backoff: polls that keep breaking after a first success are no better
+// than polls that never succeed.
 func (w *Watcher) scheduleRetry(now time.Duration, poll Poll) {
 	if w.failures == 1 && now-w.recoveredAt >= w.schedule.RetryInterval {
 		w.backoff = w.schedule.FirstBackoff
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -13,7 +13,7 @@
 // Peek reports what a read of c would return now, without consuming data: n is 1 if
 // a byte can be read, and 0 with a nil error at the end of the connection. The error
 // is EAGAIN if there is nothing to read, and errors.ErrUnsupported if c is not a
-// socket.
+// syscall.Conn.
 func Peek(c net.Conn) (n int, err error) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/sockets/tcpinfo.go
+++ b/internal/sockets/tcpinfo.go
@@ -10,8 +10,8 @@
 
 // SinceLastReceived returns the time since c last received data, read or unread,
 // according to the kernel (TCP_INFO, see tcp(7)). Its resolution is the kernel tick,
-// 10 ms at most. It returns 0 if there is no TCP_INFO: c is not TCP, has been closed
-// on this side, or is carried by a network stack that does not keep this figure.
+// 10 ms at most. It returns 0 if there is no such figure: c is not TCP, has been
+// closed on this side, or is carried by a network stack that does not keep it.
 func SinceLastReceived(c net.Conn) time.Duration {
 	info := tcpInfo(c)
 	if info == nil {
