--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -225,7 +225,7 @@
 }
 
 // The check can fail: names that are not there are found missing, and others are not.
-func TestCheckTellsMissingNames(t *testing.T) {
+func TestCheckReportsMissingNames(t *testing.T) {
 	c := readCheckout(t)
 	for span, want := range map[string]bool{
 		"balancer/balancer.go": true, "balancer/nowhere.go": false, "go.mod": true, "nowhere.go": false,
--- a/internal/settings/classes.go
+++ b/internal/settings/classes.go
@@ -53,15 +53,15 @@
 	for i, c := range classes {
 		decoded, err := c.decode()
 		if err != nil {
-			return inClass(err, i, c.Name)
+			return wrapClassError(err, i, c.Name)
 		}
 		s.Classes = append(s.Classes, decoded)
 	}
 	return nil
 }
 
-// inClass adds the class to an error of class.decode.
-func inClass(err error, index int, name string) error {
+// wrapClassError adds the class to an error of class.decode.
+func wrapClassError(err error, index int, name string) error {
 	var invalid *Error
 	if errors.As(err, &invalid) {
 		invalid.Element = fmt.Sprintf("classes[%d]", index)
--- a/internal/settings/endpoints.go
+++ b/internal/settings/endpoints.go
@@ -15,14 +15,14 @@
 	return err
 }
 
-// weight says what an endpoint's weight means.
-type weight struct {
+// weightKind says what the weights on the endpoint list mean.
+type weightKind struct {
 	known       bool
 	approximate bool
 	dynamic     bool
 }
 
-var weightKinds = map[string]weight{
+var weightKinds = map[string]weightKind{
 	"none":    {},
 	"nominal": {known: true},
 	"rough":   {known: true, approximate: true},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,8 +16,8 @@
 	"bankshift/balancer"
 )
 
-// object is the whole settings object.
-type object struct {
+// settingsObject holds every key of the settings object.
+type settingsObject struct {
 	Nodes            int      `json:"balancers"`
 	NodeIndex        int      `json:"slot_no"`
 	Zone             string   `json:"zone"`
@@ -50,7 +50,7 @@
 // Decode reads the settings of a node. A value that is not among those allowed
 // for its key is an *Error, and JSON null is ErrMissing.
 func Decode(raw json.RawMessage) (balancer.Settings, error) {
-	var in *object
+	var in *settingsObject
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return balancer.Settings{}, fmt.Errorf("settings object: %w", err)
 	}
@@ -65,8 +65,8 @@
 }
 
 // apply stops at the first value that is not allowed.
-func (o *object) apply(s *balancer.Settings) error {
-	o.applyPlace(s)
+func (o *settingsObject) apply(s *balancer.Settings) error {
+	o.applyTopology(s)
 	if err := applyUpdateMode(o.UpdateMode, s); err != nil {
 		return err
 	}
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// applyPlace sets where the node stands: among the nodes, the zones and the tiers.
-func (o *object) applyPlace(s *balancer.Settings) {
+// applyTopology sets where the node stands: among the nodes, the zones and the tiers.
+func (o *settingsObject) applyTopology(s *balancer.Settings) {
 	s.Nodes = o.Nodes
 	s.NodeIndex = o.NodeIndex
 	s.Zone = o.Zone
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,8 +11,8 @@
 	"bankshift/balancer"
 )
 
-// full states each key that the package knows, and one that it does not.
-const full = `{
+// allKeys states each key that the package knows, and one that it does not.
+const allKeys = `{
 	"balancers": 3, "slot_no": 2, "zone": "n", "failure_domains": ["n", "s"], "kinds": ["m1", "m2"], "tick_ns": 5000000,
 	"family": "proxy", "tier": 1, "tiers": ["a", "b"],
 	"classes": [{
@@ -127,7 +127,7 @@
 		},
 		Goal: balancer.Goal{Whole: 0.6, WorstWindow: 0.4, WorstClass: 0.3, WorstTenant: 0.2},
 	}
-	if got := decode(t, full); !reflect.DeepEqual(got, want) {
+	if got := decode(t, allKeys); !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 	fields := reflect.ValueOf(want)
--- a/internal/simwire/batch_test.go
+++ b/internal/simwire/batch_test.go
@@ -8,15 +8,15 @@
 	"bankshift/internal/settings"
 )
 
-// batch is a line with these events for node 3.
-func batch(events string) string {
+// batchLine is a line with these events for node 3.
+func batchLine(events string) string {
 	return `{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[` + events + `]}]}`
 }
 
 // decodeOne decodes the only event of a batch.
 func decodeOne(t *testing.T, event string) Input {
 	t.Helper()
-	decoded, err := DecodeBatch([]byte(batch(event)))
+	decoded, err := DecodeBatch([]byte(batchLine(event)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,29 +33,29 @@
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestErrorsNameInvalidInput(t *testing.T) {
 	for line, want := range map[string]string{
 		`nonsense`:                        "batch",
 		`{"groups":[]}`:                   "sim_time_ns is missing",
 		`{"sim_time_ns":1,"groups":[{}]}`: "node_id is missing",
-		batch(`{"dance":{}}`):             "unknown event",
-		batch(`{}`):                       "want one key",
-		batch(`{"submit":{"patience_left_ns":1}}`):                                                                  "node 3, event 0, submit: req is missing",
-		batch(`{"submit":{"req":"q"}}`):                                                                             "patience_left_ns is missing",
-		batch(`{"due":{}}`):                                                                                         "label is missing",
-		batch(`{"roster_change":{"how":"Q"}}`):                                                                      "unknown how",
-		batch(`{"up":{"seed":1}}`):                                                                                  "profile_data is missing",
-		batch(`{"probe_result":{"disposition":0}}`):                                                                 "backend is missing",
-		batch(`{"attempt_end":{"req":"q","leg":0,"backend":1}}`):                                                    "disposition is missing",
-		batch(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":99}}`):                                   "unknown disposition 99",
-		batch(`{"roster_change":{"how":"F","items":[{"zone":"z","state":"ready"}]}}`):                               "backend is missing",
-		batch(`{"up":{"seed":1,"profile_data":{"classes":[{"name":"x","effect":"odd","key_scope":"all"}]}}}`):       "unknown effect",
-		batch(`{"up":{"seed":1,"profile_data":{"classes":[{"name":"x","effect":"retryable","key_scope":"odd"}]}}}`): "unknown key_scope",
-		batch(`{"up":{"seed":1,"profile_data":{"membership_mode":"odd"}}}`):                                         "unknown membership_mode",
-		batch(`{"up":{"seed":1,"profile_data":{"report":{"how":"odd"}}}}`):                                          "node 3, event 0, up: unknown report.how",
-		batch(`{"up":{"seed":1,"profile_data":{"weight_kind":"odd"}}}`):                                             "unknown weight_kind",
-		batch(`{"up":{"seed":1,"profile_data":{"worth_by":"odd"}}}`):                                                "unknown worth_by",
-		batch(`{"roster_change":{"how":"F","items":[{"backend":1,"state":"odd"}]}}`):                                "unknown state",
+		batchLine(`{"dance":{}}`):         "unknown event",
+		batchLine(`{}`):                   "want one key",
+		batchLine(`{"submit":{"patience_left_ns":1}}`):                                                                  "node 3, event 0, submit: req is missing",
+		batchLine(`{"submit":{"req":"q"}}`):                                                                             "patience_left_ns is missing",
+		batchLine(`{"due":{}}`):                                                                                         "label is missing",
+		batchLine(`{"roster_change":{"how":"Q"}}`):                                                                      "unknown how",
+		batchLine(`{"up":{"seed":1}}`):                                                                                  "profile_data is missing",
+		batchLine(`{"probe_result":{"disposition":0}}`):                                                                 "backend is missing",
+		batchLine(`{"attempt_end":{"req":"q","leg":0,"backend":1}}`):                                                    "disposition is missing",
+		batchLine(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":99}}`):                                   "unknown disposition 99",
+		batchLine(`{"roster_change":{"how":"F","items":[{"zone":"z","state":"ready"}]}}`):                               "backend is missing",
+		batchLine(`{"up":{"seed":1,"profile_data":{"classes":[{"name":"x","effect":"odd","key_scope":"all"}]}}}`):       "unknown effect",
+		batchLine(`{"up":{"seed":1,"profile_data":{"classes":[{"name":"x","effect":"retryable","key_scope":"odd"}]}}}`): "unknown key_scope",
+		batchLine(`{"up":{"seed":1,"profile_data":{"membership_mode":"odd"}}}`):                                         "unknown membership_mode",
+		batchLine(`{"up":{"seed":1,"profile_data":{"report":{"how":"odd"}}}}`):                                          "node 3, event 0, up: unknown report.how",
+		batchLine(`{"up":{"seed":1,"profile_data":{"weight_kind":"odd"}}}`):                                             "unknown weight_kind",
+		batchLine(`{"up":{"seed":1,"profile_data":{"worth_by":"odd"}}}`):                                                "unknown worth_by",
+		batchLine(`{"roster_change":{"how":"F","items":[{"backend":1,"state":"odd"}]}}`):                                "unknown state",
 	} {
 		if _, err := DecodeBatch([]byte(line)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", line, err, want)
@@ -66,7 +66,7 @@
 func TestErrorsAreTyped(t *testing.T) {
 	for _, event := range []string{`{"submit":{}}`, `{"abandoned":{}}`, `{"attempt_end":{"backend":1}}`, `{"streaming":{"backend":1}}`} {
 		var missing *MissingKeyError
-		_, err := DecodeBatch([]byte(batch(event)))
+		_, err := DecodeBatch([]byte(batchLine(event)))
 		if !errors.As(err, &missing) || missing.Key != "req" {
 			t.Errorf("%s: error %v, want a missing req", event, err)
 		}
@@ -77,25 +77,25 @@
 		`{"roster_change":{"how":"F","items":[{"backend":1,"state":"missing"}]}}`: {Key: "state", Value: `"missing"`},
 	} {
 		var unknown *UnknownValueError
-		_, err := DecodeBatch([]byte(batch(event)))
+		_, err := DecodeBatch([]byte(batchLine(event)))
 		if !errors.As(err, &unknown) || *unknown != want {
 			t.Errorf("%s: error %v, want %+v", event, err, want)
 		}
 	}
-	if _, err := DecodeBatch([]byte(batch(`{"dance":{}}`))); !errors.Is(err, ErrUnknownEvent) {
+	if _, err := DecodeBatch([]byte(batchLine(`{"dance":{}}`))); !errors.Is(err, ErrUnknownEvent) {
 		t.Errorf("error %v, want ErrUnknownEvent", err)
 	}
 	var invalid *settings.Error
-	_, err := DecodeBatch([]byte(batch(`{"up":{"seed":1,"profile_data":{"worth_by":"odd"}}}`)))
+	_, err := DecodeBatch([]byte(batchLine(`{"up":{"seed":1,"profile_data":{"worth_by":"odd"}}}`)))
 	if !errors.As(err, &invalid) || invalid.Key != "worth_by" {
 		t.Errorf("error %v, want a *settings.Error", err)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(batch(strings.ReplaceAll(start, "\n", ""))))
-	f.Add([]byte(batch(`{"submit":{"req":"q","patience_left_ns":1}},{"due":{"label":7}},{"retire":{}}`)))
-	f.Add([]byte(batch(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":0,"feedback":{"active":1e400}}}`)))
+	f.Add([]byte(batchLine(strings.ReplaceAll(startEvent, "\n", ""))))
+	f.Add([]byte(batchLine(`{"submit":{"req":"q","patience_left_ns":1}},{"due":{"label":7}},{"retire":{}}`)))
+	f.Add([]byte(batchLine(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":0,"feedback":{"active":1e400}}}`)))
 	f.Add([]byte(`{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[{"subm`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		if b, err := DecodeBatch(line); err == nil && b.Nodes == nil && len(line) == 0 {
--- a/internal/simwire/decode_test.go
+++ b/internal/simwire/decode_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestReportWithNoKnownFieldIsNone(t *testing.T) {
+func TestLoadReportWithoutKnownFieldIsNil(t *testing.T) {
 	input := decodeOne(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
 	if event := input.Event.(balancer.AttemptEnded); event.Report != nil {
 		t.Errorf("%+v", event.Report)
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -109,13 +109,13 @@
 	return appendText(b, `{"trace":{"message":`, message)
 }
 
-func appendInt(b []byte, before string, value int64) []byte {
-	b = append(b, before...)
+func appendInt(b []byte, prefix string, value int64) []byte {
+	b = append(b, prefix...)
 	return strconv.AppendInt(b, value, 10)
 }
 
-func appendText(b []byte, before, text string) []byte {
-	b = append(b, before...)
+func appendText(b []byte, prefix, text string) []byte {
+	b = append(b, prefix...)
 	quoted, _ := json.Marshal(text) // a string always marshals
 	return append(b, quoted...)
 }
--- a/internal/simwire/start_test.go
+++ b/internal/simwire/start_test.go
@@ -11,7 +11,7 @@
 	"bankshift/internal/settings"
 )
 
-const start = `{"up":{"seed":9007199254740993,"profile_data":{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],
+const startEvent = `{"up":{"seed":9007199254740993,"profile_data":{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],
 "balancers":3,"caps":{"cancel":true,"connect_timeout_ns":250000000,"cpu_us_per_s":15000,"cpu_us_per_request":2.5,"most_held":9,"multiplex":100,"conn_idle_ns":5,"max_attempts":4,"may_duplicate":true,"peers":true,
 "probes":true,"retry_after":true,"max_retry_after_ns":2000000000},"classes":[{"aim_ns":600000000,"dedup_window_ns":8,
 "effect":"dedup","give_up_ns":1200000000,"importance":12.0,"key_scope":"cell","late_worth":0.5,"name":"x","streamed":true}],
@@ -22,7 +22,7 @@
 "tier":1,"specifics":{"warm_keys":true},"zone":"n","key_of_tomorrow":[1]}}}`
 
 func TestStart(t *testing.T) {
-	input := decodeOne(t, strings.ReplaceAll(start, "\n", ""))
+	input := decodeOne(t, strings.ReplaceAll(startEvent, "\n", ""))
 	s := input.Start.Settings
 	if input.Start.Seed != 9007199254740993 {
 		t.Errorf("seed %d", input.Start.Seed)
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestSettingsAreDecodedWhole compares with package settings, whose tests cover
+// TestStartDecodesAllSettings compares with package settings, whose tests cover
 // each key.
-func TestSettingsAreDecodedWhole(t *testing.T) {
+func TestStartDecodesAllSettings(t *testing.T) {
 	const object = `{"balancers":3,"classes":[{"name":"x","effect":"fragile"}],"caps":{"peers":true}}`
 	want, err := settings.Decode([]byte(object))
 	if err != nil {
@@ -78,7 +78,7 @@
 			t.Errorf("seed %s: %d, want %d", seed, got, want)
 		}
 	}
-	if _, err := DecodeBatch([]byte(batch(`{"up":{"seed":1e999,"profile_data":{}}}`))); err == nil || !strings.Contains(err.Error(), "seed: ") {
+	if _, err := DecodeBatch([]byte(batchLine(`{"up":{"seed":1e999,"profile_data":{}}}`))); err == nil || !strings.Contains(err.Error(), "seed: ") {
 		t.Errorf("error %v, want one of the seed", err)
 	}
 }
