--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Command simhost runs balancers for the simulator: it reads a batch of events a
-// line from standard input and writes a line with the balancers' actions to
-// standard output.
+// Command simhost runs balancers for the simulator. It reads one batch of events
+// per line from standard input, and replies to each with one line of the
+// balancers' actions on standard output.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"bankshift/internal/simwire"
 )
 
-// bufferSize is the size in bytes of each of the two buffers.
+// bufferSize is the size in bytes of the read buffer and of the write buffer.
 const bufferSize = 1 << 20
 
 func main() {
@@ -24,7 +24,9 @@
 	}
 }
 
-// run answers each line until the input ends or a line is malformed.
+// run replies to each line until the input ends. It stops with an error at the
+// first line that cannot be decoded or has an event for a node that is not
+// running.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferSize)
 	writer := bufio.NewWriterSize(out, bufferSize)
@@ -55,7 +57,7 @@
 // host holds the balancers of the running nodes, by the node's number.
 type host map[int]*balancer.Balancer
 
-// handle gives each node its part of a batch.
+// handle passes each node's inputs in a batch to the node, and returns the nodes' actions.
 func (h host) handle(line []byte) ([]simwire.Reply, error) {
 	batch, err := simwire.DecodeBatch(line)
 	if err != nil {
@@ -72,6 +74,7 @@
 	return replies, nil
 }
 
+// handleNode handles a node's inputs in order: it starts or ends the node, or passes an event to its balancer.
 func (h host) handleNode(now balancer.Time, node simwire.NodeInputs) ([]balancer.Action, error) {
 	var actions []balancer.Action
 	for i, input := range node.Inputs {
@@ -80,11 +83,11 @@
 			h[node.Node] = balancer.New(input.Start.Settings, input.Start.Seed)
 		case input.Retire:
 			delete(h, node.Node)
-			actions = nil // a node that has ended does nothing
+			actions = nil // a node that has ended takes no actions, not even for earlier events of this batch
 		default:
 			b := h[node.Node]
 			if b == nil {
-				return nil, fmt.Errorf("event %d: no up came before it", i)
+				return nil, fmt.Errorf("event %d: the node is not running, want an up event first", i)
 			}
 			actions = append(actions, b.Handle(now, input.Event)...)
 		}
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -14,7 +14,8 @@
 	"testing"
 )
 
-// pages are those that describe the program as it is. docs/acceptance.md is a record of runs and keeps the names of its time.
+// pages describe the program as it is now. docs/acceptance.md is not checked: it is a record of runs and keeps the
+// names that were in use at the time.
 var pages = []string{"README.md", "docs/architecture.md", "docs/design.md", "docs/CAPACITY.md", "docs/terms-audit.md"}
 
 const root = ".."
@@ -26,17 +27,18 @@
 	fileName   = regexp.MustCompile(`^[\w.-]+\.(go|md|toml|sh|json|txt|mod)$`)
 )
 
-// checkout is what the pages may name.
+// checkout holds the names that the pages may use.
 type checkout struct {
 	paths     map[string]bool // files and folders, relative to the root
 	fileNames map[string]bool // without their folders
 	declared  map[string]bool // Go identifiers: packages, functions, types, fields, constants, variables
-	types     map[string]bool // of these, types
+	types     map[string]bool // those of the declared identifiers that are types
 	members   map[string]bool // fields and methods, as Type.Member
 	words     map[string]bool // words of string literals, struct tags and configuration files
 	imported  map[string]bool // imported packages, by their paths and by their names
 }
 
+// readCheckout collects the names from all files of the repository, except those in .git and bin.
 func readCheckout(t *testing.T) checkout {
 	t.Helper()
 	c := checkout{paths: map[string]bool{}, fileNames: map[string]bool{}, declared: map[string]bool{},
@@ -71,6 +73,7 @@
 	return c
 }
 
+// addWords adds all words of a configuration file or shell script.
 func (c *checkout) addWords(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -82,8 +85,8 @@
 	return nil
 }
 
-// addGoFile adds what a Go file declares at the top level, fields and methods included, and the words of
-// its literals unless it is a test.
+// addGoFile adds what a Go file imports and what it declares at the top level, fields and methods included. Unless the
+// file is a test, it also adds the words of its string literals and struct tags.
 func (c *checkout) addGoFile(path string) error {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -147,6 +150,7 @@
 	})
 }
 
+// receiverType returns the name of the type that a method belongs to, and an empty string for a generic type.
 func receiverType(method *ast.FuncDecl) string {
 	receiver := method.Recv.List[0].Type
 	if pointer, ok := receiver.(*ast.StarExpr); ok {
@@ -155,11 +159,12 @@
 	if name, ok := receiver.(*ast.Ident); ok {
 		return name.Name
 	}
-	return "" // of a generic type
+	return "" // a generic type
 }
 
-// has tells whether a code span of a page names something that exists. Spans that are neither a path, a file nor an
-// identifier (commands, figures, formulas) are not judged.
+// has reports whether a code span of a page names something that exists. It does not check, and returns true for, paths
+// that are absolute or start with "../", and spans that are neither a path, a file name nor an identifier (commands,
+// figures, formulas).
 func (c *checkout) has(span string) bool {
 	span = strings.TrimPrefix(strings.TrimSuffix(span, "()"), "./")
 	prefix := strings.HasSuffix(span, "...")
@@ -178,7 +183,7 @@
 	}
 	parts := strings.Split(span, ".")
 	if len(parts) > 1 && c.imported[parts[0]] && !c.declared[parts[0]] {
-		return true // of the standard library
+		return true // an identifier of an imported package from outside the repository, such as http.Server
 	}
 	if len(parts) == 2 && c.types[parts[0]] {
 		return c.members[span]
@@ -191,6 +196,7 @@
 	return true
 }
 
+// hasPrefix reports whether a declared identifier starts with this prefix.
 func (c *checkout) hasPrefix(prefix string) bool {
 	for name := range c.declared {
 		if strings.HasPrefix(name, prefix) {
@@ -200,6 +206,8 @@
 	return false
 }
 
+// TestPagesNameWhatExists guards against pages that still name files or identifiers which have been renamed or removed.
+// It checks code spans, and skips code blocks.
 func TestPagesNameWhatExists(t *testing.T) {
 	c := readCheckout(t)
 	for _, page := range pages {
@@ -224,7 +232,8 @@
 	}
 }
 
-// The check can fail: names that are not there are found missing, and others are not.
+// TestCheckReportsMissingNames guards against a check of the pages that accepts every name, or that rejects names which
+// exist.
 func TestCheckReportsMissingNames(t *testing.T) {
 	c := readCheckout(t)
 	for span, want := range map[string]bool{
--- a/internal/settings/classes.go
+++ b/internal/settings/classes.go
@@ -19,7 +19,8 @@
 	"all":  balancer.DeduplicatedByFleet,
 }
 
-// byWork translates worth_by: whether priority weights count per unit of work.
+// byWork maps the values of worth_by to balancer.Settings.PriorityByWork: whether priority weights count per unit of
+// work.
 var byWork = map[string]bool{
 	"request": false,
 	"work":    true,
@@ -31,7 +32,7 @@
 	return err
 }
 
-// class is an element of the section "classes".
+// class is an element of the list "classes": one kind of request.
 type class struct {
 	Name             string  `json:"name"`
 	PriorityWeight   float64 `json:"importance"`
@@ -60,7 +61,8 @@
 	return nil
 }
 
-// wrapClassError adds the class to an error of class.decode.
+// wrapClassError wraps an error of class.decode with the class's name. If the error is an *Error, its Element is
+// set to the class's place in the list, such as "classes[1]".
 func wrapClassError(err error, index int, name string) error {
 	var invalid *Error
 	if errors.As(err, &invalid) {
@@ -94,7 +96,8 @@
 	}, nil
 }
 
-// deduplicationScope must be stated only where requests carry an idempotency key.
+// deduplicationScope decodes key_scope, which is required for classes whose requests carry an idempotency key and
+// optional for all others.
 func (c class) deduplicationScope(i balancer.Idempotency) (balancer.DeduplicationScope, error) {
 	if i == balancer.IdempotentByKey {
 		return lookup(deduplicationScopes, "key_scope", c.DeduplicationScope)
--- a/internal/settings/endpoints.go
+++ b/internal/settings/endpoints.go
@@ -2,8 +2,8 @@
 
 import "bankshift/balancer"
 
-// onDemand translates membership_mode: whether endpoint updates come only on
-// demand.
+// onDemand maps the values of membership_mode to balancer.Settings.EndpointsOnDemand: whether endpoint updates come only
+// on demand.
 var onDemand = map[string]bool{
 	"pushed":     false,
 	"on_request": true,
@@ -17,9 +17,9 @@
 
 // weightKind says what the weights on the endpoint list mean.
 type weightKind struct {
-	known       bool
-	approximate bool
-	dynamic     bool
+	known       bool // a weight depends on the machine's capacity
+	approximate bool // it is not exact
+	dynamic     bool // it falls as the endpoint fills up
 }
 
 var weightKinds = map[string]weightKind{
@@ -37,7 +37,7 @@
 	return err
 }
 
-// endpoints is the section "specifics": how this kind of service behaves.
+// endpoints is the section "specifics": how the endpoints of this kind of service treat keys and deadlines.
 type endpoints struct {
 	KeyAffinity        bool `json:"warm_keys"`
 	PropagatesDeadline bool `json:"passes_deadline"`
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -9,11 +9,11 @@
 )
 
 // ErrMissing reports a settings object that is JSON null.
-var ErrMissing = errors.New("settings is missing")
+var ErrMissing = errors.New("settings object is null")
 
 // Error reports a value that is not among those allowed for its key.
 type Error struct {
-	Element string // the list element that holds the key, such as "classes[1]"; empty: the settings object itself
+	Element string // the list element that holds the key, such as "classes[1]"; empty if none does
 	Key     string // such as "effect" or "report.how"
 	Value   string // the value found
 	Want    string // the allowed values
@@ -27,8 +27,8 @@
 	return fmt.Sprintf("unknown %s %q%s, want %s", e.Key, e.Value, where, e.Want)
 }
 
-// lookup translates the value of a key. An unknown value is an *Error without
-// an element.
+// lookup returns what the value of a key stands for. For a value that is not allowed it returns an *Error without an
+// Element.
 func lookup[V any](allowed map[string]V, key, value string) (V, error) {
 	translated, ok := allowed[value]
 	if !ok {
@@ -38,8 +38,7 @@
 	return translated, nil
 }
 
-// lookupOptional is lookup for a key that may be absent or empty, which is the
-// zero value.
+// lookupOptional is like lookup, but returns the zero value for a key that is absent or empty.
 func lookupOptional[V any](allowed map[string]V, key, value string) (V, error) {
 	if value == "" {
 		var zero V
--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -2,7 +2,8 @@
 
 import "bankshift/balancer"
 
-// limits is the section "caps": what a node may do, and how much of it.
+// limits is the section "caps": which actions a node may take, and its limits on attempts, Retry-After, connections,
+// open requests and processor time.
 type limits struct {
 	MaxAttempts  int  `json:"max_attempts"`
 	Hedging      bool `json:"may_duplicate"`
@@ -41,7 +42,7 @@
 	s.CPUPerRequest = microseconds(l.CPUPerRequest)
 }
 
-// clients is the section "client_habits".
+// clients is the section "client_habits": how clients behave.
 type clients struct {
 	MarkRetries bool `json:"marks_retry"`
 }
--- a/internal/settings/loadreports.go
+++ b/internal/settings/loadreports.go
@@ -8,7 +8,7 @@
 	"answers": balancer.LoadReportsByResponse,
 }
 
-// loadReports is the section "report".
+// loadReports is the section "report": how load reports reach a node, and the names of the values in them.
 type loadReports struct {
 	Source string   `json:"how"`
 	Fields []string `json:"fields"`
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -2,8 +2,8 @@
 
 import "bankshift/balancer"
 
-// rules is the section "invariants": what a node must keep to, and how endpoints
-// behave while they drain and after they start.
+// rules is the section "invariants": the time limits that a node must observe, also towards draining endpoints, and how
+// endpoints warm up after they start.
 type rules struct {
 	ResponseSlack int64 `json:"answer_slack_ns"`
 	PollInterval  int64 `json:"ask_within_ns"`
--- a/internal/settings/score.go
+++ b/internal/settings/score.go
@@ -2,7 +2,7 @@
 
 import "bankshift/balancer"
 
-// costs is the section "charges": points off the operators' result for each unit.
+// costs is the section "charges": the points that one unit of each cost takes off the operators' result.
 type costs struct {
 	Connection     float64 `json:"connection"`
 	Handshake      float64 `json:"handshake"`
@@ -33,7 +33,7 @@
 	}
 }
 
-// goal is the section "goal": the weights of the parts of the result.
+// goal is the section "goal": the weights of the parts that make up the operators' result.
 type goal struct {
 	Whole       float64 `json:"whole"`
 	WorstWindow float64 `json:"worst_window"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,11 +1,12 @@
-// Package settings decodes the operators' settings object into the balancer's
-// settings. The simulator and a node's configuration file hold the object in
-// the same form. The operators' words stay within this package.
+// Package settings decodes the operators' settings object into
+// balancer.Settings. The simulator and a node's configuration file hold the
+// object in the same form. The package translates the operators' keys and
+// enumerated values, so that the balancer does not depend on them.
 //
-// The object has sections. Each section has a type whose fields are named as in
-// balancer.Settings and tagged with the operators' keys, and whose apply method
-// fills in the balancer's settings. Keys that no section knows are ignored, and
-// an absent key leaves its setting at zero.
+// The object has sections. Each section has a type whose fields are named after
+// those of balancer.Settings and tagged with the operators' keys, and whose
+// apply method fills in balancer.Settings. Unknown keys are ignored, and an
+// absent key leaves its setting at zero.
 package settings
 
 import (
@@ -16,7 +17,7 @@
 	"bankshift/balancer"
 )
 
-// settingsObject holds every key of the settings object.
+// settingsObject is the settings object with all of its sections.
 type settingsObject struct {
 	Nodes            int      `json:"balancers"`
 	NodeIndex        int      `json:"slot_no"`
@@ -47,8 +48,9 @@
 	Goal  goal  `json:"goal"`
 }
 
-// Decode reads the settings of a node. A value that is not among those allowed
-// for its key is an *Error, and JSON null is ErrMissing.
+// Decode decodes the settings object of a node. It returns an error that wraps an
+// *Error if a value is not among those allowed for its key, and ErrMissing for
+// JSON null.
 func Decode(raw json.RawMessage) (balancer.Settings, error) {
 	var in *settingsObject
 	if err := json.Unmarshal(raw, &in); err != nil {
@@ -64,7 +66,7 @@
 	return settings, nil
 }
 
-// apply stops at the first value that is not allowed.
+// apply fills in s. It stops at the first value that is not allowed for its key.
 func (o *settingsObject) apply(s *balancer.Settings) error {
 	o.applyTopology(s)
 	if err := applyUpdateMode(o.UpdateMode, s); err != nil {
@@ -93,7 +95,8 @@
 	return nil
 }
 
-// applyTopology sets where the node stands: among the nodes, the zones and the tiers.
+// applyTopology sets the node's position among the nodes, zones and tiers, and what else the top-level keys say about
+// the service: its family, its machine types and the minimum interval between events.
 func (o *settingsObject) applyTopology(s *balancer.Settings) {
 	s.Nodes = o.Nodes
 	s.NodeIndex = o.NodeIndex
@@ -109,5 +112,5 @@
 // nanoseconds converts the value of a key that ends in _ns.
 func nanoseconds(n int64) time.Duration { return time.Duration(n) }
 
-// microseconds converts the value of a key that counts microseconds with decimals.
+// microseconds converts the value of a key that counts microseconds, which may have a fraction.
 func microseconds(n float64) time.Duration { return time.Duration(n * float64(time.Microsecond)) }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"bankshift/balancer"
 )
 
-// allKeys states each key that the package knows, and one that it does not.
+// allKeys is a settings object with each key that the package decodes, and an unknown one.
 const allKeys = `{
 	"balancers": 3, "slot_no": 2, "zone": "n", "failure_domains": ["n", "s"], "kinds": ["m1", "m2"], "tick_ns": 5000000,
 	"family": "proxy", "tier": 1, "tiers": ["a", "b"],
@@ -43,7 +43,7 @@
 		"moves": 8, "origin": 9, "membership_mode": 10, "fleet": 11
 	},
 	"goal": {"whole": 0.6, "worst_window": 0.4, "worst_class": 0.3, "worst_tenant": 0.2},
-	"key_of_tomorrow": [1]
+	"unknown_key": [1]
 }`
 
 func decode(t *testing.T, raw string) balancer.Settings {
@@ -55,6 +55,8 @@
 	return s
 }
 
+// TestDecodeEachKey guards against keys that are ignored or decoded into the wrong field, and against fields that no
+// key sets.
 func TestDecodeEachKey(t *testing.T) {
 	want := balancer.Settings{
 		Nodes:            3,
@@ -139,6 +141,7 @@
 	}
 }
 
+// TestAbsentKeysLeaveZeroes guards against absent or empty keys that are rejected or that set a field.
 func TestAbsentKeysLeaveZeroes(t *testing.T) {
 	if got := decode(t, `{}`); !reflect.DeepEqual(got, balancer.Settings{}) {
 		t.Errorf("%+v, want all fields zero", got)
@@ -149,13 +152,14 @@
 	}
 }
 
-// TestPlacement: an absent list allows everything, and an empty one nothing.
+// TestPlacement guards against empty lists that are decoded like absent ones: an absent or null list of zones or
+// machine types allows all of them, and an empty list none.
 func TestPlacement(t *testing.T) {
 	decodeClass := func(keys string) balancer.Class {
 		return decode(t, `{"classes":[{"name":"x","effect":"retryable"`+keys+`}]}`).Classes[0]
 	}
 	if c := decodeClass(""); c.AllowedZones != nil || c.AllowedMachineTypes != nil {
-		t.Errorf("absent: %+v", c)
+		t.Errorf("absent lists: %+v, want both nil", c)
 	}
 	c := decodeClass(`,"failure_domains_open":["a","b"],"allowed_on":[]`)
 	if len(c.AllowedZones) != 2 || c.AllowedZones[1] != "b" || c.AllowedMachineTypes == nil || len(c.AllowedMachineTypes) != 0 {
@@ -167,7 +171,7 @@
 	}
 }
 
-// TestTranslations: each word of the operators stands for one value.
+// TestTranslations guards against values of the settings object that are decoded as the wrong constant.
 func TestTranslations(t *testing.T) {
 	type translation struct {
 		raw  string
@@ -215,6 +219,7 @@
 	}
 }
 
+// TestErrorNamesKeyValueAndChoices guards against errors that do not tell operators which key to correct, and how.
 func TestErrorNamesKeyValueAndChoices(t *testing.T) {
 	for _, c := range []struct {
 		raw     string
@@ -257,12 +262,16 @@
 	}
 }
 
+// TestNullIsMissing guards against JSON null that is accepted as settings with all fields zero: encoding/json decodes
+// null without an error and leaves a struct unchanged.
 func TestNullIsMissing(t *testing.T) {
 	if _, err := Decode(json.RawMessage(`null`)); !errors.Is(err, ErrMissing) {
 		t.Errorf("error %v, want ErrMissing", err)
 	}
 }
 
+// TestMalformedJSON guards against malformed settings that are accepted, and against errors that do not wrap the cause
+// or, for a value of the wrong type, do not name the key.
 func TestMalformedJSON(t *testing.T) {
 	var wrongType *json.UnmarshalTypeError
 	if _, err := Decode(json.RawMessage(`{"caps":{"max_attempts":"four"}}`)); !errors.As(err, &wrongType) || !strings.Contains(err.Error(), "max_attempts") {
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -1,7 +1,7 @@
 // Package simwire translates between the simulator's JSON lines and the
-// balancer's events and actions. The simulator sends one batch of events a line
-// and reads one line of actions for it. The simulator's words stay within this
-// package.
+// balancer's events and actions. The simulator sends each batch of events as one
+// line, and reads one line of actions in reply. The balancer does not depend on
+// the simulator's names for them.
 package simwire
 
 import (
@@ -12,13 +12,13 @@
 	"bankshift/balancer"
 )
 
-// Batch is one line from the simulator.
+// Batch is one line from the simulator: what the nodes in it receive at one time.
 type Batch struct {
 	Now   balancer.Time
 	Nodes []NodeInputs
 }
 
-// NodeInputs holds the inputs of one node in their order.
+// NodeInputs holds the inputs of one node in the order in which it must handle them.
 type NodeInputs struct {
 	Node   int
 	Inputs []Input
@@ -27,19 +27,19 @@
 // Input is one of three things: the start of a node, its end, or an event for
 // its balancer.
 type Input struct {
-	Start  *Start         // nil: not a start
-	Retire bool           // the node ends, and sends nothing more
-	Event  balancer.Event // nil: a start or an end
+	Start  *Start         // nil: the input is not a start
+	Retire bool           // the node ends, and takes no more actions
+	Event  balancer.Event // nil: the input is a start or an end
 }
 
-// Start says that a node begins, in place of any earlier one with its number.
+// Start is the start of a node. The node replaces any earlier one with the same number.
 type Start struct {
 	Settings balancer.Settings
 	Seed     int64
 }
 
-// batchJSON is the form of a Batch on the wire. Each event is an object with its
-// name as the only key.
+// batchJSON is the form of a Batch on the wire. Each event is an object whose only
+// key is the event's name.
 type batchJSON struct {
 	Now    *int64 `json:"sim_time_ns"`
 	Groups []struct {
@@ -48,8 +48,10 @@
 	} `json:"groups"`
 }
 
-// DecodeBatch reads one line. An absent key is a *MissingKeyError and a value
-// that is not known is an *UnknownValueError, both wrapped with their place.
+// DecodeBatch decodes one line. Its error says where in the line the fault is, and
+// wraps a *MissingKeyError for an absent key, an *UnknownValueError for a value
+// that is not defined for its key, ErrUnknownEvent for an unknown event, and the
+// errors of package settings and encoding/json.
 func DecodeBatch(line []byte) (Batch, error) {
 	var in batchJSON
 	if err := json.Unmarshal(line, &in); err != nil {
@@ -78,7 +80,7 @@
 	var inputs []Input
 	for i, event := range events {
 		if len(event) != 1 {
-			return nil, fmt.Errorf("event %d: want one key, have %d", i, len(event))
+			return nil, fmt.Errorf("event %d: want one key, the event's name, but have %d", i, len(event))
 		}
 		for name, raw := range event {
 			input, err := decodeInput(name, raw)
--- a/internal/simwire/batch_test.go
+++ b/internal/simwire/batch_test.go
@@ -8,7 +8,7 @@
 	"bankshift/internal/settings"
 )
 
-// batchLine is a line with these events for node 3.
+// batchLine returns a batch with these events for node 3.
 func batchLine(events string) string {
 	return `{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[` + events + `]}]}`
 }
@@ -23,30 +23,33 @@
 	return decoded.Nodes[0].Inputs[0]
 }
 
+// TestEmptyBatch guards against batches without events that are rejected or get no reply.
 func TestEmptyBatch(t *testing.T) {
 	decoded, err := DecodeBatch([]byte(`{"sim_time_ns":8412250000,"groups":[]}`))
 	if err != nil || decoded.Now != 8412250000 || len(decoded.Nodes) != 0 {
 		t.Error(decoded, err)
 	}
 	if reply := string(AppendReply(nil, nil)); reply != "{\"groups\":[]}\n" {
-		t.Errorf("an empty reply is %q", reply)
+		t.Errorf("reply without actions is %q, want an empty list of groups", reply)
 	}
 }
 
+// TestErrorsNameInvalidInput guards against invalid input that is accepted, and against errors that do not name the
+// key, the value or the event that is invalid.
 func TestErrorsNameInvalidInput(t *testing.T) {
 	for line, want := range map[string]string{
-		`nonsense`:                        "batch",
-		`{"groups":[]}`:                   "sim_time_ns is missing",
-		`{"sim_time_ns":1,"groups":[{}]}`: "node_id is missing",
-		batchLine(`{"dance":{}}`):         "unknown event",
-		batchLine(`{}`):                   "want one key",
-		batchLine(`{"submit":{"patience_left_ns":1}}`):                                                                  "node 3, event 0, submit: req is missing",
-		batchLine(`{"submit":{"req":"q"}}`):                                                                             "patience_left_ns is missing",
-		batchLine(`{"due":{}}`):                                                                                         "label is missing",
-		batchLine(`{"roster_change":{"how":"Q"}}`):                                                                      "unknown how",
-		batchLine(`{"up":{"seed":1}}`):                                                                                  "profile_data is missing",
-		batchLine(`{"probe_result":{"disposition":0}}`):                                                                 "backend is missing",
-		batchLine(`{"attempt_end":{"req":"q","leg":0,"backend":1}}`):                                                    "disposition is missing",
+		`nonsense`:                                                   "batch",
+		`{"groups":[]}`:                                              "sim_time_ns is missing",
+		`{"sim_time_ns":1,"groups":[{}]}`:                            "node_id is missing",
+		batchLine(`{"no_such_event":{}}`):                            "unknown event",
+		batchLine(`{}`):                                              "want one key",
+		batchLine(`{"submit":{"patience_left_ns":1}}`):               "node 3, event 0, submit: req is missing",
+		batchLine(`{"submit":{"req":"q"}}`):                          "patience_left_ns is missing",
+		batchLine(`{"due":{}}`):                                      "label is missing",
+		batchLine(`{"roster_change":{"how":"Q"}}`):                   "unknown how",
+		batchLine(`{"up":{"seed":1}}`):                               "profile_data is missing",
+		batchLine(`{"probe_result":{"disposition":0}}`):              "backend is missing",
+		batchLine(`{"attempt_end":{"req":"q","leg":0,"backend":1}}`): "disposition is missing",
 		batchLine(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":99}}`):                                   "unknown disposition 99",
 		batchLine(`{"roster_change":{"how":"F","items":[{"zone":"z","state":"ready"}]}}`):                               "backend is missing",
 		batchLine(`{"up":{"seed":1,"profile_data":{"classes":[{"name":"x","effect":"odd","key_scope":"all"}]}}}`):       "unknown effect",
@@ -63,6 +66,7 @@
 	}
 }
 
+// TestErrorsAreTyped guards against errors that callers cannot tell apart with errors.As or errors.Is.
 func TestErrorsAreTyped(t *testing.T) {
 	for _, event := range []string{`{"submit":{}}`, `{"abandoned":{}}`, `{"attempt_end":{"backend":1}}`, `{"streaming":{"backend":1}}`} {
 		var missing *MissingKeyError
@@ -82,16 +86,17 @@
 			t.Errorf("%s: error %v, want %+v", event, err, want)
 		}
 	}
-	if _, err := DecodeBatch([]byte(batchLine(`{"dance":{}}`))); !errors.Is(err, ErrUnknownEvent) {
+	if _, err := DecodeBatch([]byte(batchLine(`{"no_such_event":{}}`))); !errors.Is(err, ErrUnknownEvent) {
 		t.Errorf("error %v, want ErrUnknownEvent", err)
 	}
 	var invalid *settings.Error
 	_, err := DecodeBatch([]byte(batchLine(`{"up":{"seed":1,"profile_data":{"worth_by":"odd"}}}`)))
 	if !errors.As(err, &invalid) || invalid.Key != "worth_by" {
-		t.Errorf("error %v, want a *settings.Error", err)
+		t.Errorf("error %v, want a *settings.Error for worth_by", err)
 	}
 }
 
+// FuzzDecode guards against lines that make DecodeBatch panic, and against an empty line that is accepted.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(batchLine(strings.ReplaceAll(startEvent, "\n", ""))))
 	f.Add([]byte(batchLine(`{"submit":{"req":"q","patience_left_ns":1}},{"due":{"label":7}},{"retire":{}}`)))
@@ -99,7 +104,7 @@
 	f.Add([]byte(`{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[{"subm`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		if b, err := DecodeBatch(line); err == nil && b.Nodes == nil && len(line) == 0 {
-			t.Fatal("an empty line is no batch")
+			t.Fatal("an empty line was accepted")
 		}
 	})
 }
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -9,8 +9,8 @@
 	"bankshift/internal/loadreport"
 )
 
-// eventDecoders holds the decoder of each event for a balancer, by the event's
-// name on the wire.
+// eventDecoders maps the name on the wire of each event for a balancer to the
+// event's decoder.
 var eventDecoders = map[string]func(json.RawMessage) (balancer.Event, error){
 	"submit":        decodeRequestArrived,
 	"attempt_end":   decodeAttemptEnded,
@@ -22,7 +22,8 @@
 	"roster_change": decodeEndpointUpdate,
 }
 
-// decodeInput decodes an event by its name on the wire.
+// decodeInput decodes the event that has this name on the wire. The events up and
+// retire start and end a node; the others are for its balancer.
 func decodeInput(name string, raw json.RawMessage) (Input, error) {
 	switch name {
 	case "up":
@@ -49,7 +50,7 @@
 type requestJSON struct {
 	ID       *string `json:"req"`
 	Class    string  `json:"band"`
-	Tenant   any     `json:"user_group"` // a string, or anything else for no tenant
+	Tenant   any     `json:"user_group"` // any value but a string means no tenant
 	Key      string  `json:"partition_key"`
 	Timeout  *int64  `json:"patience_left_ns"`
 	WorkHint int64   `json:"cost_guess_ns"`
@@ -83,8 +84,8 @@
 	}, nil
 }
 
-// attemptJSON is the form of all that happens to attempts and health checks.
-// Each of these events uses a part of the keys.
+// attemptJSON has the keys of all events about attempts and health checks. Each
+// of these events uses some of the keys.
 type attemptJSON struct {
 	ID          *string                    `json:"req"`
 	Attempt     *int                       `json:"leg"`
@@ -95,7 +96,7 @@
 	Report      map[string]json.RawMessage `json:"feedback"`
 }
 
-// attemptRef says which attempt an event is about.
+// attemptRef identifies the attempt that an event is about.
 type attemptRef struct {
 	id       balancer.RequestID
 	number   int
@@ -164,6 +165,8 @@
 	}, nil
 }
 
+// attempt returns the attempt that the event is about. It returns a *MissingKeyError if backend, req or leg is
+// absent.
 func (a *attemptJSON) attempt() (attemptRef, error) {
 	endpoint, err := required("backend", a.Endpoint)
 	if err != nil {
@@ -180,7 +183,7 @@
 	return attemptRef{id: balancer.RequestID(id), number: number, endpoint: balancer.EndpointID(endpoint)}, nil
 }
 
-// outcomes translates the codes of outcomes.
+// outcomes maps the codes that the key disposition holds to outcomes.
 var outcomes = map[int]balancer.Outcome{
 	0:  balancer.OK,
 	1:  balancer.Canceled,
@@ -204,8 +207,8 @@
 	return outcome, nil
 }
 
-// decodeLoadReport skips values that are not numbers and names that are not
-// known. It returns nil if nothing is left.
+// decodeLoadReport skips unknown names, values that are not numbers, and numbers
+// outside the range of float64. It returns nil if nothing is left.
 func decodeLoadReport(values map[string]json.RawMessage) *balancer.LoadReport {
 	var report balancer.LoadReport
 	anyKnown := false
--- a/internal/simwire/decode_test.go
+++ b/internal/simwire/decode_test.go
@@ -8,6 +8,8 @@
 	"bankshift/balancer"
 )
 
+// TestDecodeEachEvent guards against events that are decoded as another event, and against keys that are ignored or
+// decoded into the wrong field.
 func TestDecodeEachEvent(t *testing.T) {
 	for _, c := range []struct {
 		event string
@@ -41,6 +43,8 @@
 	}
 }
 
+// TestOutcomeCodes guards against codes that are decoded as the wrong outcome, and against load reports that are
+// dropped or rejected because of an unknown field.
 func TestOutcomeCodes(t *testing.T) {
 	for code, want := range map[string]balancer.Outcome{
 		"0":  balancer.OK,
@@ -53,7 +57,7 @@
 		"14": balancer.ConnectFailed,
 	} {
 		input := decodeOne(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
-			"feedback":{"active":7,"unheard_of":3,"waiting":2}}}`)
+			"feedback":{"active":7,"unknown_field":3,"waiting":2}}}`)
 		event := input.Event.(balancer.AttemptEnded)
 		if event.Outcome != want || event.Attempt != 1 || event.Endpoint != 7 || event.RequestDone {
 			t.Errorf("code %s: %+v", code, event)
@@ -64,9 +68,10 @@
 	}
 }
 
+// TestLoadReportWithoutKnownFieldIsNil guards against an empty load report in place of none.
 func TestLoadReportWithoutKnownFieldIsNil(t *testing.T) {
-	input := decodeOne(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
+	input := decodeOne(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unknown_field":"x"}}}`)
 	if event := input.Event.(balancer.AttemptEnded); event.Report != nil {
-		t.Errorf("%+v", event.Report)
+		t.Errorf("load report %+v, want nil", event.Report)
 	}
 }
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -15,8 +15,8 @@
 	Actions []balancer.Action
 }
 
-// AppendReply appends the line that answers a batch, with its line end. Nodes
-// without actions are left out.
+// AppendReply appends the line that replies to a batch, including the newline.
+// Nodes without actions are left out.
 func AppendReply(b []byte, replies []Reply) []byte {
 	b = append(b, `{"groups":[`...)
 	first := true
@@ -45,7 +45,8 @@
 	return append(b, "]}"...)
 }
 
-// appendAction appends an object with the action's name as its only key.
+// appendAction appends an action as an object whose only key is the action's name
+// on the wire.
 func appendAction(b []byte, action balancer.Action) []byte {
 	switch a := action.(type) {
 	case balancer.Send:
@@ -109,13 +110,15 @@
 	return appendText(b, `{"trace":{"message":`, message)
 }
 
+// appendInt appends prefix, a piece of JSON, and then value.
 func appendInt(b []byte, prefix string, value int64) []byte {
 	b = append(b, prefix...)
 	return strconv.AppendInt(b, value, 10)
 }
 
+// appendText appends prefix, a piece of JSON, and then text as a JSON string.
 func appendText(b []byte, prefix, text string) []byte {
 	b = append(b, prefix...)
-	quoted, _ := json.Marshal(text) // a string always marshals
+	quoted, _ := json.Marshal(text) // marshalling a string never fails
 	return append(b, quoted...)
 }
--- a/internal/simwire/encode_test.go
+++ b/internal/simwire/encode_test.go
@@ -8,6 +8,7 @@
 	"bankshift/balancer"
 )
 
+// TestEncodeEachAction guards against actions with a wrong name, key or value on the wire.
 func TestEncodeEachAction(t *testing.T) {
 	for _, c := range []struct {
 		action balancer.Action
@@ -35,6 +36,8 @@
 	}
 }
 
+// TestReplyIsJSON guards against malformed JSON in a reply with several actions, which is assembled from strings, and
+// against an entry for a node without actions.
 func TestReplyIsJSON(t *testing.T) {
 	line := AppendReply(nil, []Reply{
 		{Node: 3, Actions: []balancer.Action{
--- a/internal/simwire/start.go
+++ b/internal/simwire/start.go
@@ -37,8 +37,8 @@
 	return &Start{Settings: decoded, Seed: seed}, nil
 }
 
-// decodeSeed takes unsigned integers as they are, and the bits of any other
-// number.
+// decodeSeed returns an unsigned 64-bit integer with its bits unchanged, and for
+// any other number the bits of its float64.
 func decodeSeed(number json.Number) (int64, error) {
 	unsigned, err := strconv.ParseUint(number.String(), 10, 64)
 	if err == nil {
