--- a/internal/settings/endpoints.go
+++ b/internal/settings/endpoints.go
@@ -2,8 +2,8 @@
 
 import "bankshift/balancer"
 
-// onDemand maps the values of membership_mode to balancer.Settings.EndpointsOnDemand: whether endpoint updates come only
-// on demand.
+// onDemand maps the values of membership_mode to balancer.Settings.EndpointsOnDemand: whether endpoint updates come
+// only on demand.
 var onDemand = map[string]bool{
 	"pushed":     false,
 	"on_request": true,
