--- a/internal/lab/model/registry_test.go
+++ b/internal/lab/model/registry_test.go
@@ -80,13 +80,13 @@
 	const nodes, steps = 20, 300
 	rng := rand.New(rand.NewPCG(5, 6))
 	r := NewRegistry(RegistryConfig{Nodes: nodes, Delay: 5 * ms, DelaySpread: 40 * ms, LogLength: 30}, rng)
-	truth := []map[string]Entry{{}}
-	held := make([]map[string]Entry, nodes)
-	at := make([]uint64, nodes)
+	wantLists := []map[string]Entry{{}}
+	nodeLists := make([]map[string]Entry, nodes)
+	nodeVersions := make([]uint64, nodes)
 	r.SetIsolated(0, 3, true) // for most of the time
 	for i := range steps {
 		now := time.Duration(i) * ms
-		next := maps.Clone(truth[i])
+		next := maps.Clone(wantLists[i])
 		var changed []Entry
 		for range 1 + rng.IntN(4) {
 			e := entryOf(rng.IntN(40), []string{Ready, Draining, Removed}[rng.IntN(3)])
@@ -94,7 +94,7 @@
 			changed = append(changed, e)
 		}
 		applyChanges(next, changed)
-		truth = append(truth, next)
+		wantLists = append(wantLists, next)
 		if err := r.Change(now, changed...); err != nil {
 			t.Fatal(err)
 		}
@@ -103,17 +103,17 @@
 		}
 		n := rng.IntN(nodes)
 		r.Call(now, n, 0, 0)
-		if at[n] != 0 {
-			r.Call(now, n, at[n], 0)
+		if nodeVersions[n] != 0 {
+			r.Call(now, n, nodeVersions[n], 0)
 		}
 		for _, a := range r.Advance(now) {
 			l := decode(t, a)
-			if a.Snapshot || held[n] == nil {
-				held[n] = map[string]Entry{}
+			if a.Snapshot || nodeLists[n] == nil {
+				nodeLists[n] = map[string]Entry{}
 			}
-			applyChanges(held[n], l.Endpoints)
-			at[n] = a.Version
-			if !reflect.DeepEqual(held[n], truth[a.Version]) {
+			applyChanges(nodeLists[n], l.Endpoints)
+			nodeVersions[n] = a.Version
+			if !reflect.DeepEqual(nodeLists[n], wantLists[a.Version]) {
 				t.Fatalf("step %d, node %d: version %d (whole %v) is wrong", i, n, a.Version, a.Snapshot)
 			}
 			if late := now - time.Duration(a.Version)*ms; n != 3 && late > r.Delay(n) { // version i+1 came at i
@@ -167,7 +167,7 @@
 	for _, onDemand := range []bool{false, true} {
 		r := NewRegistry(RegistryConfig{Nodes: 2, OnDemand: onDemand}, nil)
 		r.Change(0, entryOf(0, Ready))
-		noResponse := func(what string, now time.Duration) {
+		expectNoResponse := func(what string, now time.Duration) {
 			t.Helper()
 			if out := r.Advance(now); len(out) != 0 {
 				t.Errorf("on demand %v, %s: %+v", onDemand, what, out)
@@ -178,7 +178,7 @@
 		r.Change(2*ms, entryOf(0, Draining))
 		r.Call(3*ms, 0, 0, 0)
 		r.SetSilent(4*ms, false)
-		noResponse("a silence", time.Minute)
+		expectNoResponse("a silence", time.Minute)
 		r.Call(time.Minute, 0, 1, time.Second)
 		if a := oneResponse(t, r, time.Minute); a.Version != 2 || a.Snapshot {
 			t.Errorf("after a silence: %+v", a)
@@ -199,9 +199,9 @@
 			t.Error("a cut keeps a node, and no other, from learning")
 		}
 		if onDemand { // its calls get nowhere
-			noResponse("a cut", 2*time.Minute)
+			expectNoResponse("a cut", 2*time.Minute)
 			r.SetIsolated(2*time.Minute, 0, false)
-			noResponse("after a cut", 3*time.Minute)
+			expectNoResponse("after a cut", 3*time.Minute)
 		} else { // its agent goes on, with what it has
 			if a := oneResponse(t, r, 2*time.Minute); a.At != time.Minute+time.Second || a.Entries != 0 {
 				t.Errorf("a cut: %+v", a)
@@ -246,7 +246,7 @@
 }
 
 func TestRegistryIsDeterministic(t *testing.T) {
-	play := func() (out []Response) {
+	run := func() (out []Response) {
 		rng := rand.New(rand.NewPCG(7, 8))
 		r := NewRegistry(RegistryConfig{Nodes: 50, Delay: ms, DelaySpread: 50 * ms}, rng)
 		for i := range 500 {
@@ -268,7 +268,7 @@
 		}
 		return out
 	}
-	if a := play(); len(a) < 200 || !reflect.DeepEqual(a, play()) {
+	if a := run(); len(a) < 200 || !reflect.DeepEqual(a, run()) {
 		t.Errorf("%d responses, or different ones the second time", len(a))
 	}
 }
--- a/internal/lab/model/registrylist.go
+++ b/internal/lab/model/registrylist.go
@@ -61,7 +61,7 @@
 	r.latest++
 	r.log = append(r.log, v)
 	r.trimLog()
-	r.wakeHeldCalls()
+	r.rescheduleHeldCalls()
 	return nil
 }
 
@@ -76,9 +76,9 @@
 	return encodedEntry{name: e.Name, json: text}, nil
 }
 
-// wakeHeldCalls reschedules the held calls for when they learn of the newest
+// rescheduleHeldCalls reschedules the held calls for when they learn of the newest
 // version.
-func (r *Registry) wakeHeldCalls() {
+func (r *Registry) rescheduleHeldCalls() {
 	for _, c := range slices.Clone(r.pending) {
 		n := &r.nodes[c.node]
 		if c.response == nil && n.outages == 0 {
--- a/internal/lab/model/server_test.go
+++ b/internal/lab/model/server_test.go
@@ -19,16 +19,16 @@
 // nearly independent and nearly normal.
 const batches = 40
 
-type rander interface{ Rand() float64 }
+type sampler interface{ Rand() float64 }
 
-// queueing plays Poisson arrivals to a server. It returns for each batch the
+// simulateQueue plays Poisson arrivals to a server. It returns for each batch the
 // mean wait of those served in seconds and the fraction that was rejected; the
 // first batch is left out, as the server starts empty.
-func queueing(s *Server, rate float64, cost rander, n int, src rand.Source) (waits, lost []float64) {
+func simulateQueue(s *Server, rate float64, cost sampler, n int, src rand.Source) (waits, rejected []float64) {
 	gap := distuv.Exponential{Rate: rate, Src: src}
 	at, costs := make([]float64, n), make([]time.Duration, n)
 	sum, served, full := make([]float64, batches), make([]float64, batches), make([]float64, batches)
-	take := func(replies []Reply) {
+	recordReplies := func(replies []Reply) {
 		for _, r := range replies {
 			b := int(r.ID) * batches / n
 			sum[b] += r.At.Seconds() - at[r.ID] - costs[r.ID].Seconds()
@@ -40,24 +40,24 @@
 		t += gap.Rand()
 		now := time.Duration(t * 1e9)
 		for next, ok := s.Next(); ok && next <= now; next, ok = s.Next() {
-			take(s.Advance(next))
+			recordReplies(s.Advance(next))
 		}
 		at[i], costs[i] = now.Seconds(), time.Duration(cost.Rand()*1e9)
 		if s.Arrive(now, nil, Work{ID: uint64(i), Cost: costs[i]}) == Rejected {
 			full[i*batches/n]++
 		}
 	}
-	take(s.Advance(time.Duration(t*1e9) + time.Hour))
+	recordReplies(s.Advance(time.Duration(t*1e9) + time.Hour))
 	for b := 1; b < batches; b++ {
 		waits = append(waits, sum[b]/served[b])
-		lost = append(lost, full[b]/(served[b]+full[b]))
+		rejected = append(rejected, full[b]/(served[b]+full[b]))
 	}
-	return waits, lost
+	return waits, rejected
 }
 
-// within fails a test unless want lies in the confidence interval of the mean
+// checkMean fails a test unless want lies in the confidence interval of the mean
 // of xs (Student's t), and that interval is narrow enough to be a check.
-func within(t *testing.T, what string, xs []float64, want float64) {
+func checkMean(t *testing.T, what string, xs []float64, want float64) {
 	t.Helper()
 	mean, dev := stat.MeanStdDev(xs, nil)
 	df := float64(len(xs) - 1)
@@ -83,8 +83,8 @@
 		for _, c := range []int{1, 4} {
 			const rho = 0.7
 			s, r := NewServer(ServerConfig{Cores: c, QueueLimit: Unlimited}, nil), src()
-			waits, _ := queueing(s, rho*float64(c)/mean, distuv.Exponential{Rate: 1 / mean, Src: r}, n, r)
-			within(t, "mean wait", waits, erlangC(c, rho*float64(c))*mean/(float64(c)*(1-rho)))
+			waits, _ := simulateQueue(s, rho*float64(c)/mean, distuv.Exponential{Rate: 1 / mean, Src: r}, n, r)
+			checkMean(t, "mean wait", waits, erlangC(c, rho*float64(c))*mean/(float64(c)*(1-rho)))
 		}
 	})
 	t.Run("M/G/1", func(t *testing.T) { // Pollaczek-Khinchine
@@ -92,16 +92,16 @@
 		r := src()
 		// At speed 2 a run takes half its work, so that the wait is of runs of
 		// half the mean, and the other half of the work counts as less waiting.
-		waits, _ := queueing(NewServer(ServerConfig{Speed: speed, QueueLimit: Unlimited}, nil), rho*speed/mean,
+		waits, _ := simulateQueue(NewServer(ServerConfig{Speed: speed, QueueLimit: Unlimited}, nil), rho*speed/mean,
 			distuv.Gamma{Alpha: 1 / cv2, Beta: 1 / cv2 / mean, Src: r}, n+100_000, r) // its waits vary most
-		within(t, "mean wait", waits, rho/(1-rho)*(1+cv2)/2*mean/speed-mean*(1-1/speed))
+		checkMean(t, "mean wait", waits, rho/(1-rho)*(1+cv2)/2*mean/speed-mean*(1-1/speed))
 	})
 	t.Run("M/M/1/K", func(t *testing.T) {
 		const rho, k = 0.9, 5
 		r := src()
 		s := NewServer(ServerConfig{QueueLimit: k - 1}, nil)
-		_, lost := queueing(s, rho/mean, distuv.Exponential{Rate: 1 / mean, Src: r}, n, r)
-		within(t, "lost", lost, (1-rho)*math.Pow(rho, k)/(1-math.Pow(rho, k+1)))
+		_, rejected := simulateQueue(s, rho/mean, distuv.Exponential{Rate: 1 / mean, Src: r}, n, r)
+		checkMean(t, "lost", rejected, (1-rho)*math.Pow(rho, k)/(1-math.Pow(rho, k+1)))
 		if st := s.Stats(); st.Served+st.Rejected != n || (st.Work-st.Busy).Abs() > time.Duration(st.Served) { // a run ends at a whole nanosecond
 			t.Errorf("a core of speed 1: %+v", st)
 		}
@@ -174,9 +174,9 @@
 }
 
 func TestKeyStores(t *testing.T) {
-	var all, here, there KeyStore
-	s := NewServer(ServerConfig{Cores: 8, KeyStores: [ScopeCell + 1]*KeyStore{ScopeAll: &all, ScopeCell: &here}}, nil)
-	other := NewServer(ServerConfig{Cores: 8, KeyStores: [ScopeCell + 1]*KeyStore{ScopeAll: &all, ScopeCell: &there}}, nil)
+	var all, cell, otherCell KeyStore
+	s := NewServer(ServerConfig{Cores: 8, KeyStores: [ScopeCell + 1]*KeyStore{ScopeAll: &all, ScopeCell: &cell}}, nil)
+	other := NewServer(ServerConfig{Cores: 8, KeyStores: [ScopeCell + 1]*KeyStore{ScopeAll: &all, ScopeCell: &otherCell}}, nil)
 	for i, c := range []struct {
 		s      *Server
 		at     time.Duration
@@ -305,16 +305,16 @@
 }
 
 func TestServerIsDeterministic(t *testing.T) {
-	play := func() (ServerStats, []float64) {
+	run := func() (ServerStats, []float64) {
 		r := rand.NewPCG(3, 4)
 		s := NewServer(ServerConfig{Cores: 3, QueueLimit: 4, FailureRate: 0.1, InitialCapacity: 0.1, WarmupTime: 20 * time.Second,
 			CrashFactor: 3, CrashWindow: time.Second, CrashDowntime: time.Second, MeanCost: 10 * time.Millisecond}, rand.New(r))
 		s.Start(0)
-		waits, _ := queueing(s, 280, distuv.Exponential{Rate: 100, Src: r}, 20_000, r)
+		waits, _ := simulateQueue(s, 280, distuv.Exponential{Rate: 100, Src: r}, 20_000, r)
 		return s.Stats(), waits
 	}
-	a, wa := play()
-	if b, wb := play(); a != b || !reflect.DeepEqual(wa, wb) || a.Failed == 0 || a.Crashes == 0 {
+	a, wa := run()
+	if b, wb := run(); a != b || !reflect.DeepEqual(wa, wb) || a.Failed == 0 || a.Crashes == 0 {
 		t.Errorf("%+v\n%+v", a, b)
 	}
 }
