--- a/internal/lab/model/doc.go
+++ b/internal/lab/model/doc.go
@@ -1,10 +1,10 @@
 // Package model holds the models of what a node talks to: servers and
-// discovery. They are pure: no I/O, clock, goroutine or global randomness, so
-// that the same code serves hollow runs on a virtual clock and real ones, where
-// package emulator puts HTTP in front of them.
+// discovery. The models are pure: they have no I/O, clock, goroutine or global
+// randomness, so the same code serves runs with hollow nodes on a virtual clock
+// and runs with real processes, where package emulator serves them over HTTP.
 //
-// A model is a state machine in time. Its caller reports what happens together
-// with the time of it, which never goes back, and takes the results from
+// A model is a state machine driven by time. Its caller passes each event with
+// the time of the event, which never decreases, and takes the results from
 // Advance at the time that Next returns:
 //
 //	for {
@@ -15,14 +15,16 @@
 //		for _, reply := range s.Advance(at) { ... }
 //	}
 //
-// Every other call may change Next; a caller with an event queue reads it again
-// after each call. Advance may also be called late: it then returns all that
-// happened meanwhile, in order and with the times at which it happened. The
-// same calls with the same source of randomness give the same results.
+// Every other call may change the result of Next; a caller with an event queue
+// calls Next again after each of them. Advance may also be called late: it then
+// returns all results up to its time, in order and with the times at which they
+// occurred. The same calls with the same source of randomness give the same
+// results.
 //
-// All times are since the start of the run. Nothing but KeyStore is safe for
+// All times count from the start of the run. Only KeyStore is safe for
 // concurrent use.
 //
-// The rules come from the pages on the wire and on the protocol; the crash of
-// a server overloaded while it warms up follows the page of the standing test.
+// The models follow the specifications of the wire format and of the discovery
+// protocol. The rule by which a server overloaded during its warm-up crashes
+// follows the specification of the standing test.
 package model
--- a/internal/lab/model/keystore.go
+++ b/internal/lab/model/keystore.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// Scope is the set of servers that share the idempotency keys they have seen.
+// Scope says which servers share the idempotency keys they have seen.
 type Scope int
 
 const (
 	ScopeAll  Scope = iota // all servers
-	ScopeZone              // those of one zone
-	ScopeCell              // those of one cell
+	ScopeZone              // servers of one zone
+	ScopeCell              // servers of one cell
 )
 
-// ParseScope reads a scope as scenarios and settings write it; "" is ScopeAll.
+// ParseScope parses a scope as scenarios, node settings and request headers
+// contain it; "" is ScopeAll.
 func ParseScope(s string) (Scope, error) {
 	switch s {
 	case "", "all":
@@ -28,7 +29,8 @@
 	return 0, fmt.Errorf("model: unknown scope of keys %q", s)
 }
 
-// minSweepSize is the number of keys below which expired ones are kept.
+// minSweepSize is the number of keys below which a KeyStore deletes no expired
+// keys.
 const minSweepSize = 1024
 
 // KeyStore remembers the idempotency keys seen by the servers of one scope. The
@@ -36,11 +38,12 @@
 type KeyStore struct {
 	mu        sync.Mutex
 	expiry    map[string]time.Duration
-	sweepSize int // number of keys at which expired ones are deleted
+	sweepSize int // number of keys at which the next addition first deletes expired ones
 }
 
-// beginRun records that the execution of a request with the key begins. It
-// returns false if the key is known, so that the request is a repeat.
+// beginRun records that the execution of a request with the key begins, and
+// remembers the key for window. It returns false if the key is known already, so
+// that the request is a repeat.
 func (k *KeyStore) beginRun(now time.Duration, key string, window time.Duration) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -63,7 +66,7 @@
 			delete(k.expiry, key)
 		}
 	}
-	k.sweepSize = 2 * len(k.expiry) // keeps the cost of sweeps per key constant
+	k.sweepSize = 2 * len(k.expiry) // doubling keeps the amortized cost of deletion per key constant
 }
 
 // forget removes a key whose execution had no effect.
--- a/internal/lab/model/registry.go
+++ b/internal/lab/model/registry.go
@@ -7,11 +7,12 @@
 // Status values of an Entry.
 const (
 	Ready    = "ready"
-	Draining = "draining" // finishes its work and wants no new requests
-	Removed  = "gone"     // in changes only: the entry leaves the list
+	Draining = "draining" // the server finishes its requests and should get no new ones
+	Removed  = "gone"     // only in changes: the entry is removed from the list
 )
 
-// Entry is one server of the list, in the form of the protocol page.
+// Entry describes one server of the list. Its JSON form is that of the discovery
+// protocol.
 type Entry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -24,92 +25,95 @@
 }
 
 const (
-	defaultLogLength = 1024             // versions: a large release at once, at some hundred bytes an entry
-	maxHold          = 60 * time.Second // of a watch, by the protocol page
+	defaultLogLength = 1024             // in versions: covers a large release at once; about a hundred bytes an entry
+	maxHold          = 60 * time.Second // longest time to hold a watch, according to the discovery protocol
 )
 
 // RegistryConfig configures a Registry.
 type RegistryConfig struct {
-	Nodes int // that call it, numbered from 0
+	Nodes int // number of nodes that call it; they are numbered from 0
 
 	// Without OnDemand, changes are pushed to an agent beside each node, which
-	// answers its node at once. With OnDemand, the calls go to one service,
-	// which answers one after the other.
+	// answers the calls of its node at once. With OnDemand, all calls go to one
+	// service, which handles them one after the other.
 	OnDemand     bool
-	Delay        time.Duration // from a change to the agents, or to the service
-	DelaySpread  time.Duration // pushed: additional, drawn uniformly for each node
-	ResponseTime time.Duration // on demand: work of a response
-	EntryTime    time.Duration // on demand: additional, for each entry of a response
-
-	LogLength int // versions whose changes are kept at least; a node with an older one gets the whole list; 0: 1,024
+	Delay        time.Duration // from a change until the agents, or the service, have it
+	DelaySpread  time.Duration // without OnDemand: upper bound of an additional delay, drawn uniformly for each node
+	ResponseTime time.Duration // with OnDemand: service time of a response
+	EntryTime    time.Duration // with OnDemand: additional service time for each entry of a response
+
+	// LogLength is the minimum number of versions whose changes are kept; 0
+	// stands for 1,024. A node with an older version gets the whole list.
+	LogLength int
 }
 
-// RegistryStats counts since the registry was made, for all nodes or for one.
+// RegistryStats counts the calls since the registry was created, of all nodes or
+// of one.
 type RegistryStats struct {
 	Calls      int
-	Responses  int   // Served
-	Snapshots  int   // of them, whole lists
-	Empty      int   // of them, without an entry
-	Entries    int   // in all responses
-	Bytes      int64 // of all bodies
-	Refused    int
-	Reset      int
-	Unanswered int // calls that got no response, and never will
+	Responses  int   // calls that ended Served
+	Snapshots  int   // Responses with the whole list
+	Empty      int   // Responses without an entry
+	Entries    int   // entries in all Responses
+	Bytes      int64 // body bytes of all Responses
+	Refused    int   // calls that ended ConnectionRefused
+	Reset      int   // calls that ended ConnectionReset
+	Unanswered int   // calls that never get a response
 }
 
-// Response is how discovery ends a call.
+// Response is how discovery ended a call.
 type Response struct {
 	CallID   uint64 // as returned by Call
 	Node     int
-	Outcome  Outcome // Served, ConnectionRefused or ConnectionReset; a call without any response has no Response
+	Outcome  Outcome // Served, ConnectionRefused or ConnectionReset; an unanswered call has no Response
 	At       time.Duration
-	Version  uint64 // with Served: of the list
-	Snapshot bool   // the whole list, else changes
+	Version  uint64 // if Served: version of the list
+	Snapshot bool   // Body is the whole list, otherwise the changes
 	Entries  int
-	Body     []byte // shared by all that get the same; must not be modified
+	Body     []byte // shared by all responses with the same list; must not be modified
 }
 
-// Registry is discovery: the list of servers, and which node has which version
-// of it.
+// Registry is the model of discovery: it holds the list of servers and which
+// version of the list each node has.
 //
-// Not modelled: an agent that restarts; lists that arrive in the wrong order,
-// or differ between nodes other than in time; the time for which a watch may
-// pause between calls (changes in between come with the next call).
+// It does not model agents that restart, lists that arrive out of order, nodes
+// that get different lists for the same version, or a limit on the time between
+// two calls of a watch: changes made in between come with the next call.
 type Registry struct {
 	cfg RegistryConfig
 	now time.Duration
 
-	// The list
+	// List
 	latest       uint64         // newest version
 	entries      []encodedEntry // of the newest version, sorted by name
-	log          []listVersion  // the last versions, up to the newest
+	log          []listVersion  // the most recent versions, oldest first, up to latest
 	snapshots    map[uint64]*encodedList
 	deltas       map[versionRange]*encodedList
 	listsEncoded int
 
-	// The nodes and their calls
+	// Nodes and their calls
 	nodes      []nodeState
 	refusing   bool
 	silent     bool
-	busyUntil  time.Duration // on demand: when the service is free
+	busyUntil  time.Duration // with OnDemand: when the service is free again
 	lastCallID uint64
 	pending    callQueue
 	byID       map[uint64]*call
 	stats      RegistryStats
 }
 
-// nodeState is what a node learns, and its calls.
+// nodeState is when a node receives changes, and its calls.
 type nodeState struct {
 	delay         time.Duration
-	outages       int    // reasons for which it learns nothing
-	frozenVersion uint64 // the version that it has during outages
+	outages       int    // number of current faults that keep changes from the node
+	frozenVersion uint64 // the version the node has while outages is above 0
 	isolated      bool
 	calls         map[uint64]*call // held or being answered
 	stats         RegistryStats
 }
 
-// NewRegistry returns a registry with an empty list, version 0. rng draws the
-// delays of the nodes and may be nil without a DelaySpread.
+// NewRegistry returns a registry with an empty list of version 0. rng is used to
+// draw the delays of the nodes and may be nil if DelaySpread is 0.
 func NewRegistry(cfg RegistryConfig, rng Rand) *Registry {
 	if cfg.LogLength <= 0 {
 		cfg.LogLength = defaultLogLength
@@ -132,23 +136,24 @@
 	return r
 }
 
-// Version is the newest version of the list.
+// Version returns the newest version of the list.
 func (r *Registry) Version() uint64 { return r.latest }
 
-// Stats counts over all nodes.
+// Stats returns the counts for all nodes together.
 func (r *Registry) Stats() RegistryStats { return r.stats }
 
-// NodeStats counts for one node.
+// NodeStats returns the counts for one node.
 func (r *Registry) NodeStats(node int) RegistryStats { return r.nodes[node].stats }
 
-// HeldCalls is how many calls are held or being answered.
+// HeldCalls returns how many calls are held or being answered.
 func (r *Registry) HeldCalls() int { return len(r.pending) }
 
-// Delay is how long a change takes to a node's agent, or to the service.
+// Delay returns how long a change takes to reach a node's agent or, with
+// OnDemand, the service.
 func (r *Registry) Delay(node int) time.Duration { return r.nodes[node].delay }
 
-// Next is the time of the next event that happens by itself, and whether there
-// is one.
+// Next returns the time of the next event that occurs without a further call,
+// and whether there is one.
 func (r *Registry) Next() (time.Duration, bool) {
 	if len(r.pending) == 0 {
 		return 0, false
@@ -156,8 +161,8 @@
 	return max(r.pending[0].due, r.now), true
 }
 
-// Advance brings the registry to a time and returns the responses due by then,
-// in their order.
+// Advance moves the registry's time forward to now and returns the responses due
+// by then, in order of their times.
 func (r *Registry) Advance(now time.Duration) []Response {
 	var responses []Response
 	for len(r.pending) > 0 && r.pending[0].due <= now {
@@ -175,8 +180,8 @@
 	return responses
 }
 
-// advanceTo brings the time to now for another method. Responses that are due
-// stay for Advance.
+// advanceTo moves the registry's time forward to now on behalf of the methods
+// other than Advance. Responses that are due remain for Advance to return.
 func (r *Registry) advanceTo(now time.Duration) {
 	for len(r.pending) > 0 && r.pending[0].due <= now && r.pending[0].response == nil {
 		r.now = max(r.now, r.pending[0].due)
--- a/internal/lab/model/registry_test.go
+++ b/internal/lab/model/registry_test.go
@@ -13,21 +13,23 @@
 
 const ms = time.Millisecond
 
-// decodedList is the decoded body of a response.
+// decodedList is a decoded response body.
 type decodedList struct {
 	Index     uint64
 	Snapshot  bool
 	Endpoints []Entry
 }
 
+// decode returns the decoded body of a response, and checks it against the
+// response's other fields.
 func decode(t *testing.T, a Response) decodedList {
 	t.Helper()
 	var l decodedList
 	if err := json.Unmarshal(a.Body, &l); err != nil {
-		t.Fatalf("%v in %s", err, a.Body)
+		t.Fatalf("decode response: %v in %s", err, a.Body)
 	}
 	if l.Index != a.Version || l.Snapshot != a.Snapshot || len(l.Endpoints) != a.Entries {
-		t.Errorf("%+v does not describe %s", a, a.Body)
+		t.Errorf("index, kind or number of entries of response %+v differ from its body %s", a, a.Body)
 	}
 	return l
 }
@@ -37,12 +39,13 @@
 		Status: status, Weight: 1.5, SinceMS: int64(i)}
 }
 
-// oneResponse returns the one response that is due.
+// oneResponse advances the registry to now and returns the one response that is
+// due; any other number fails the test.
 func oneResponse(t *testing.T, r *Registry, now time.Duration) Response {
 	t.Helper()
 	out := r.Advance(now)
 	if len(out) != 1 {
-		t.Fatalf("at %v: %d responses: %v", now, len(out), out)
+		t.Fatalf("at %v: %d responses, want 1: %v", now, len(out), out)
 	}
 	return out[0]
 }
@@ -56,14 +59,14 @@
 	r.Call(0, 0, 0, 0)
 	const want = `{"index":1,"snapshot":true,"endpoints":[{"name":"s-0000","address":"10.1.0.18:0","zone":"a","type":"m2","group":0,"status":"ready","weight":1.5,"since_ms":0}]}`
 	if a := oneResponse(t, r, 0); string(a.Body) != want {
-		t.Errorf("%s\nwant %s", a.Body, want)
+		t.Errorf("encoded list is %s\nwant %s", a.Body, want)
 	}
 	if r.Change(0, Entry{Name: "s", Status: "odd"}) == nil || r.Change(0, Entry{Status: Ready}) == nil || r.Version() != 1 {
-		t.Error("accepted an invalid entry")
+		t.Error("accepted an entry with an unknown status or without a name")
 	}
 }
 
-// applyChanges changes a list as a node does.
+// applyChanges applies changes to a list as a node does.
 func applyChanges(list map[string]Entry, changes []Entry) {
 	for _, e := range changes {
 		if e.Status == Removed {
@@ -74,8 +77,9 @@
 	}
 }
 
-// TestListOfEachVersion: nodes that learn of changes at different times each get
-// the list of their version; the whole list and the changes agree.
+// TestListOfEachVersion guards against nodes that end up with a list other than
+// that of their version. Nodes receive changes with different delays, so whole
+// lists and changes are derived for many versions, and both must give that list.
 func TestListOfEachVersion(t *testing.T) {
 	const nodes, steps = 20, 300
 	rng := rand.New(rand.NewPCG(5, 6))
@@ -83,7 +87,7 @@
 	wantLists := []map[string]Entry{{}}
 	nodeLists := make([]map[string]Entry, nodes)
 	nodeVersions := make([]uint64, nodes)
-	r.SetIsolated(0, 3, true) // for most of the time
+	r.SetIsolated(0, 3, true) // until the last 20 steps
 	for i := range steps {
 		now := time.Duration(i) * ms
 		next := maps.Clone(wantLists[i])
@@ -114,15 +118,15 @@
 			applyChanges(nodeLists[n], l.Endpoints)
 			nodeVersions[n] = a.Version
 			if !reflect.DeepEqual(nodeLists[n], wantLists[a.Version]) {
-				t.Fatalf("step %d, node %d: version %d (whole %v) is wrong", i, n, a.Version, a.Snapshot)
+				t.Fatalf("step %d, node %d: wrong list of version %d (whole list: %v)", i, n, a.Version, a.Snapshot)
 			}
-			if late := now - time.Duration(a.Version)*ms; n != 3 && late > r.Delay(n) { // version i+1 came at i
-				t.Fatalf("node %d is at version %d at %v with a delay of %v", n, a.Version, now, r.Delay(n))
+			if late := now - time.Duration(a.Version)*ms; n != 3 && late > r.Delay(n) { // version i+1 was made at i ms
+				t.Fatalf("node %d still has version %d at %v, with a delay of %v", n, a.Version, now, r.Delay(n))
 			}
 		}
 	}
 	if r.stats.Snapshots == r.stats.Responses || len(r.log) > 80 {
-		t.Errorf("%+v with %d versions in the log", r.stats, len(r.log))
+		t.Errorf("%+v with %d versions in the log; want some responses with changes, and at most 80 versions", r.stats, len(r.log))
 	}
 }
 
@@ -130,36 +134,36 @@
 	r := NewRegistry(RegistryConfig{Nodes: 2, Delay: 10 * ms}, nil)
 	r.Change(0, entryOf(0, Ready))
 	r.Advance(100 * ms)
-	r.Call(100*ms, 0, 1, 50*ms) // by its hold
+	r.Call(100*ms, 0, 1, 50*ms) // answered at the end of its hold
 	if next, ok := r.Next(); !ok || next != 150*ms {
-		t.Errorf("released at %v", next)
+		t.Errorf("the hold ends at %v, want 150ms", next)
 	}
 	if a := oneResponse(t, r, 150*ms); a.At != 150*ms || a.Snapshot || a.Entries != 0 || a.Version != 1 {
-		t.Errorf("%+v", a)
+		t.Errorf("response %+v, want no changes at 150ms", a)
 	}
-	id := r.Call(150*ms, 0, 1, time.Hour) // by a change; a hold has a limit
+	id := r.Call(150*ms, 0, 1, time.Hour) // answered because of a change; the hold is limited to maxHold
 	if next, _ := r.Next(); next != 150*ms+maxHold {
-		t.Errorf("held until %v", next)
+		t.Errorf("a call with a hold of 1h is held until %v, want maxHold after 150ms", next)
 	}
 	r.Change(200*ms, entryOf(0, Draining))
 	r.Change(205*ms, entryOf(1, Ready))
 	if a := oneResponse(t, r, 300*ms); a.At != 210*ms || a.CallID != id || a.Version != 2 || decode(t, a).Endpoints[0].Status != Draining {
-		t.Errorf("%+v", a)
+		t.Errorf("response %+v, want version 2 at 210ms", a)
 	}
-	r.Call(300*ms, 0, 2, time.Second) // what came meanwhile
+	r.Call(300*ms, 0, 2, time.Second) // answered with the change made between the calls
 	if a := oneResponse(t, r, 300*ms); a.Version != 3 || a.Snapshot || a.Entries != 1 {
-		t.Errorf("%+v", a)
+		t.Errorf("response %+v, want one change and version 3", a)
 	}
-	r.Call(300*ms, 0, 99, time.Second) // a version of another discovery
+	r.Call(300*ms, 0, 99, time.Second) // a version that this registry has not made
 	if a := oneResponse(t, r, 300*ms); a.Version != 3 || !a.Snapshot {
-		t.Errorf("%+v", a)
+		t.Errorf("response %+v, want the whole list of version 3", a)
 	}
 	id = r.Call(300*ms, 0, 3, time.Second)
 	r.Call(300*ms, 1, 3, time.Second)
 	r.CancelCall(301*ms, id)
 	r.ResetWatches(302 * ms)
 	if a := oneResponse(t, r, 302*ms); a.Outcome != ConnectionReset || a.Node != 1 || r.HeldCalls() != 0 {
-		t.Errorf("%+v", a)
+		t.Errorf("response %+v, want a reset of node 1's call", a)
 	}
 }
 
@@ -170,7 +174,7 @@
 		expectNoResponse := func(what string, now time.Duration) {
 			t.Helper()
 			if out := r.Advance(now); len(out) != 0 {
-				t.Errorf("on demand %v, %s: %+v", onDemand, what, out)
+				t.Errorf("on demand %v, %s: got responses %+v, want none", onDemand, what, out)
 			}
 		}
 		r.Call(0, 0, 1, time.Second)
@@ -178,17 +182,17 @@
 		r.Change(2*ms, entryOf(0, Draining))
 		r.Call(3*ms, 0, 0, 0)
 		r.SetSilent(4*ms, false)
-		expectNoResponse("a silence", time.Minute)
+		expectNoResponse("calls open or made while silent", time.Minute)
 		r.Call(time.Minute, 0, 1, time.Second)
 		if a := oneResponse(t, r, time.Minute); a.Version != 2 || a.Snapshot {
-			t.Errorf("after a silence: %+v", a)
+			t.Errorf("after silence: response %+v, want changes up to version 2", a)
 		}
 
 		r.Call(time.Minute, 0, 2, time.Second)
 		r.SetRefusing(time.Minute, true)
 		r.Call(time.Minute, 1, 0, 0)
 		if out := r.Advance(time.Minute); len(out) != 2 || out[0].Outcome != ConnectionReset || out[1].Outcome != ConnectionRefused {
-			t.Errorf("an outage: %+v", out)
+			t.Errorf("while refusing: responses %+v, want a reset and a refusal", out)
 		}
 		r.SetRefusing(time.Minute, false)
 
@@ -196,27 +200,28 @@
 		r.SetIsolated(time.Minute, 0, true)
 		r.Change(time.Minute, entryOf(1, Ready))
 		if r.NodeVersion(time.Minute, 0) != 2 || r.NodeVersion(time.Minute, 1) != 3 {
-			t.Error("a cut keeps a node, and no other, from learning")
+			t.Error("an isolated node must keep version 2, and the other node must have version 3")
 		}
-		if onDemand { // its calls get nowhere
-			expectNoResponse("a cut", 2*time.Minute)
+		if onDemand { // calls of an isolated node are never answered
+			expectNoResponse("while isolated", 2*time.Minute)
 			r.SetIsolated(2*time.Minute, 0, false)
-			expectNoResponse("after a cut", 3*time.Minute)
-		} else { // its agent goes on, with what it has
+			expectNoResponse("after isolation", 3*time.Minute)
+		} else { // the agent of an isolated node answers with the version it has
 			if a := oneResponse(t, r, 2*time.Minute); a.At != time.Minute+time.Second || a.Entries != 0 {
-				t.Errorf("a cut: %+v", a)
+				t.Errorf("while isolated: response %+v, want no entries at the end of the hold", a)
 			}
 			r.Call(2*time.Minute, 0, 2, time.Second)
 			r.SetIsolated(2*time.Minute+ms, 0, false)
 			if a := oneResponse(t, r, 2*time.Minute+ms); a.Version != 3 {
-				t.Errorf("after a cut: %+v", a)
+				t.Errorf("after isolation: response %+v, want version 3", a)
 			}
 		}
 	}
 }
 
-// TestOnDemandServiceAnswersInTurn: the service answers one call after the
-// other, all with one encoded list.
+// TestOnDemandServiceAnswersInTurn guards against an on-demand service that
+// answers calls in parallel or encodes the same list once for each call. With
+// 450 nodes and 4500 servers, each response takes 2 ms + 4500 x 1 µs.
 func TestOnDemandServiceAnswersInTurn(t *testing.T) {
 	const nodes, servers = 450, 4500
 	r := NewRegistry(RegistryConfig{Nodes: nodes, OnDemand: true, ResponseTime: 2 * ms, EntryTime: time.Microsecond}, nil)
@@ -230,18 +235,18 @@
 	}
 	out := r.Advance(time.Minute)
 	if len(out) != nodes || r.listsEncoded != 1 {
-		t.Fatalf("%d responses of %d encoded lists", len(out), r.listsEncoded)
+		t.Fatalf("%d responses with %d encoded lists, want 450 with 1", len(out), r.listsEncoded)
 	}
 	for i, a := range out {
 		if a.Node != i || a.At != time.Duration(i+1)*6500*time.Microsecond {
-			t.Fatalf("response %d: node %d at %v", i, a.Node, a.At)
+			t.Fatalf("response %d is for node %d at %v; want the nodes in order, 6.5ms apart", i, a.Node, a.At)
 		}
 	}
 	if got := decode(t, out[0]).Endpoints; !slices.Equal(got, all) {
-		t.Error("the list is not what was put in")
+		t.Error("the list differs from the entries that were added")
 	}
 	if st := r.Stats(); st.Snapshots != nodes || st.Bytes != nodes*int64(len(out[0].Body)) || st.Entries != nodes*servers || r.NodeStats(7).Calls != 1 {
-		t.Errorf("%+v", st)
+		t.Errorf("statistics %+v do not match 450 whole lists of 4500 entries, one for each node", st)
 	}
 }
 
@@ -269,6 +274,6 @@
 		return out
 	}
 	if a := run(); len(a) < 200 || !reflect.DeepEqual(a, run()) {
-		t.Errorf("%d responses, or different ones the second time", len(a))
+		t.Errorf("%d responses, want at least 200 and the same ones in a second run", len(a))
 	}
 }
--- a/internal/lab/model/registrycalls.go
+++ b/internal/lab/model/registrycalls.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// call is a call under way: held until there is a newer version or until
-// holdUntil, then answered.
+// call is a call that has not ended. It is held until its node has a newer version
+// or until holdUntil, and then answered.
 type call struct {
 	id          uint64
 	node        int
-	fromVersion uint64 // that the node has; 0: it requests the whole list
+	fromVersion uint64 // version that the node already has; 0: it requests the whole list
 	holdUntil   time.Duration
-	due         time.Duration // when it is evaluated, or its response is given
-	response    *Response     // nil while it is held
-	heapIndex   int           // in Registry.pending
+	due         time.Duration // when the call is evaluated next or, with a response, when the response is returned
+	response    *Response     // nil while the call is held
+	heapIndex   int           // index in Registry.pending
 }
 
-// Call brings a node's call: a request for the whole list with from 0, else a
-// watch for what is newer than that version, held for at most the given time.
-// It returns the call's id; how the call ends comes from Advance.
+// Call starts a call of a node and returns its ID. With from 0 the call requests
+// the whole list; otherwise it is a watch for changes after version from, which
+// is held for at most hold. Advance returns how the call ended.
 func (r *Registry) Call(now time.Duration, node int, from uint64, hold time.Duration) uint64 {
 	r.advanceTo(now)
 	r.lastCallID++
@@ -44,8 +44,8 @@
 	return c.id
 }
 
-// CancelCall ends a call from the node's side. Work that the service has begun
-// on it is not saved.
+// CancelCall ends a call that its node has given up. With OnDemand, service time
+// that is already reserved for its response stays reserved.
 func (r *Registry) CancelCall(now time.Duration, id uint64) {
 	r.advanceTo(now)
 	if c := r.byID[id]; c != nil {
@@ -53,7 +53,8 @@
 	}
 }
 
-// evaluate answers a held call, or reschedules it for when it may be answered.
+// evaluate answers a call, or reschedules it for the time at which that may
+// become possible.
 func (r *Registry) evaluate(c *call) {
 	v := r.versionOf(c.node)
 	if v == c.fromVersion && c.fromVersion != 0 && r.now < c.holdUntil {
@@ -78,8 +79,8 @@
 	r.reschedule(c, response.At)
 }
 
-// nextChangeFor is when a held call learns of the version after v, at most
-// until it is held.
+// nextChangeFor returns when the node of a held call receives the version after v,
+// or the end of the hold if that is earlier.
 func (r *Registry) nextChangeFor(c *call, v uint64) time.Duration {
 	n := &r.nodes[c.node]
 	next := v + 1
@@ -89,12 +90,12 @@
 	return min(c.holdUntil, r.log[next-r.oldestVersion()].at+n.delay)
 }
 
-// callsInOrder is a node's calls in the order in which they came.
+// callsInOrder returns a node's calls in the order in which they started.
 func (r *Registry) callsInOrder(node int) []*call {
 	return slices.SortedFunc(maps.Values(r.nodes[node].calls), func(a, b *call) int { return cmp.Compare(a.id, b.id) })
 }
 
-// endCall ends a call now, without a list.
+// endCall ends a call now with an outcome other than Served.
 func (r *Registry) endCall(c *call, outcome Outcome) {
 	c.response = &Response{CallID: c.id, Node: c.node, Outcome: outcome, At: r.now}
 	r.reschedule(c, r.now)
@@ -120,7 +121,7 @@
 	}
 }
 
-// callQueue is a heap of calls by due, then by id.
+// callQueue is a heap of calls, ordered by due and then by id.
 type callQueue []*call
 
 func (q callQueue) Len() int { return len(q) }
--- a/internal/lab/model/registryfaults.go
+++ b/internal/lab/model/registryfaults.go
@@ -2,24 +2,26 @@
 
 import "time"
 
-// SetRefusing makes discovery refuse calls, or accept them again: a service
-// whose process has ended. Open calls are reset at the start, and nodes learn
-// nothing until the end.
+// SetRefusing makes discovery refuse calls, like a service whose process has
+// ended, or accept them again. The start of the outage resets open calls, and
+// nodes receive no changes until it ends.
 func (r *Registry) SetRefusing(now time.Duration, on bool) {
 	r.advanceTo(now)
 	r.setFleetOutage(&r.refusing, on, r.resetCalls)
 }
 
-// SetSilent makes discovery accept calls and answer none, or answer again. Calls
-// that were open or came during the silence are never answered. This is also
-// the outage of agents, which stay silent while discovery is down.
+// SetSilent makes discovery accept calls without answering them, or answer
+// again. Calls that are open at the start or made during the outage are never
+// answered. This also models agents, which answer nothing while discovery is
+// down.
 func (r *Registry) SetSilent(now time.Duration, on bool) {
 	r.advanceTo(now)
 	r.setFleetOutage(&r.silent, on, r.dropCalls)
 }
 
-// setFleetOutage begins or ends an outage for all nodes, and keeps in outage
-// whether it lasts. At its beginning endCalls ends the open calls of each node.
+// setFleetOutage begins or ends an outage for all nodes, and records in outage
+// whether it is on. When it begins, endCalls is called for each node to end its
+// open calls.
 func (r *Registry) setFleetOutage(outage *bool, on bool, endCalls func(node int)) {
 	if *outage == on {
 		return
@@ -33,9 +35,10 @@
 	}
 }
 
-// SetIsolated cuts a node off from discovery, or connects it again. Its agent
-// goes on answering with what it had and learns nothing until the end. With
-// OnDemand its calls, also those under way, are never answered.
+// SetIsolated cuts a node off from discovery, or connects it again. While the
+// node is cut off, its agent receives no changes and answers with the version it
+// has. With OnDemand, its calls made meanwhile, and those open at the start, are
+// never answered.
 func (r *Registry) SetIsolated(now time.Duration, node int, on bool) {
 	r.advanceTo(now)
 	if r.nodes[node].isolated == on {
@@ -56,8 +59,8 @@
 	}
 }
 
-// setOutage keeps a node from learning of changes, or ends one reason for it.
-// At the end of the last reason the node has at once what it would have had.
+// setOutage begins or ends a fault that keeps changes from a node. When the last
+// such fault ends, the node at once has the version it would have without them.
 func (r *Registry) setOutage(node int, on bool) {
 	n := &r.nodes[node]
 	if on {
@@ -73,8 +76,8 @@
 	}
 }
 
-// dropCalls ends a node's calls without a response, except for responses that
-// are already on their way.
+// dropCalls ends a node's calls without a response, except for calls whose
+// response is already due.
 func (r *Registry) dropCalls(node int) {
 	for _, c := range r.callsInOrder(node) {
 		if c.response != nil && c.response.At <= r.now {
@@ -86,8 +89,8 @@
 	}
 }
 
-// resetCalls resets a node's calls, except for responses that are already on
-// their way.
+// resetCalls resets a node's calls, except for calls whose response is already
+// due.
 func (r *Registry) resetCalls(node int) {
 	for _, c := range r.callsInOrder(node) {
 		if c.response == nil || c.response.At > r.now {
--- a/internal/lab/model/registrylist.go
+++ b/internal/lab/model/registrylist.go
@@ -10,21 +10,22 @@
 	"time"
 )
 
-// maxCachedLists bounds the encoded lists that are kept of each form. A whole
-// list of 4,500 entries takes 0.6 MB, and nodes are seldom more versions apart.
+// maxCachedLists limits the number of encoded whole lists that are cached, and
+// likewise of encoded lists of changes. A whole list of 4,500 entries takes
+// 0.6 MB, and the versions of the nodes are seldom further apart than this.
 const maxCachedLists = 32
 
-// encodedEntry is an entry as lists contain it.
+// encodedEntry is an entry in JSON, as response bodies contain it.
 type encodedEntry struct {
 	name string
-	json []byte // nil: the entry is not in the list
+	json []byte // nil: the list has no entry of this name
 }
 
-// listVersion is one version, as the difference to the one before.
+// listVersion is one version of the list, as its difference from the version before.
 type listVersion struct {
 	at       time.Duration
-	entries  []encodedEntry // as they became
-	previous []encodedEntry // as they were before
+	entries  []encodedEntry // changed entries, with their new values
+	previous []encodedEntry // the same entries, with their values before the change
 }
 
 // versionRange is the key of a cached list of changes.
@@ -32,18 +33,19 @@
 	after, upTo uint64
 }
 
-// encodedList is the body of a response.
+// encodedList is an encoded response body and the number of entries in it.
 type encodedList struct {
 	json    []byte
 	entries int
 }
 
-// oldestVersion is the oldest version in the log, latest+1 if there is none.
+// oldestVersion returns the oldest version in the log, or latest+1 if the log is
+// empty.
 func (r *Registry) oldestVersion() uint64 { return r.latest - uint64(len(r.log)) + 1 }
 
-// Change makes one new version in which the entries are as given; one with
-// status Removed leaves the list. It fails, and changes nothing, for an entry
-// without a name or with an unknown status.
+// Change creates one new version of the list, in which entries are added or
+// replaced by name; an entry with status Removed is deleted. It changes nothing
+// and returns an error if an entry has no name or an unknown status.
 func (r *Registry) Change(now time.Duration, entries ...Entry) error {
 	r.advanceTo(now)
 	v := listVersion{at: r.now}
@@ -67,17 +69,17 @@
 
 func encodeEntry(e Entry) (encodedEntry, error) {
 	if e.Name == "" || e.Status != Ready && e.Status != Draining && e.Status != Removed {
-		return encodedEntry{}, fmt.Errorf("model: entry %q has status %q", e.Name, e.Status)
+		return encodedEntry{}, fmt.Errorf("model: entry %q has status %q: want a name and a status of ready, draining or gone", e.Name, e.Status)
 	}
 	text, err := json.Marshal(e)
 	if err != nil {
-		return encodedEntry{}, fmt.Errorf("model: entry %q: %w", e.Name, err)
+		return encodedEntry{}, fmt.Errorf("model: encode entry %q: %w", e.Name, err)
 	}
 	return encodedEntry{name: e.Name, json: text}, nil
 }
 
-// rescheduleHeldCalls reschedules the held calls for when they learn of the newest
-// version.
+// rescheduleHeldCalls reschedules each held call for the time at which its node
+// receives the newest version, if that is earlier.
 func (r *Registry) rescheduleHeldCalls() {
 	for _, c := range slices.Clone(r.pending) {
 		n := &r.nodes[c.node]
@@ -87,8 +89,9 @@
 	}
 }
 
-// trimLog shortens the log to its configured length, except for versions that
-// nodes have not received yet or that are the last they received.
+// trimLog shortens the log to its configured length, but keeps the versions that
+// some node has not received yet: the lists of older versions are derived from
+// them.
 func (r *Registry) trimLog() {
 	excess := len(r.log) - r.cfg.LogLength
 	if excess <= 0 {
@@ -106,7 +109,8 @@
 	r.log = slices.Delete(r.log, 0, cut)
 }
 
-// replaceEntry sets or removes an entry of the list, and returns it as it was.
+// replaceEntry sets or removes an entry of the list, and returns its previous
+// value.
 func (r *Registry) replaceEntry(e encodedEntry, remove bool) encodedEntry {
 	i, found := findEntry(r.entries, e.name)
 	previous := encodedEntry{name: e.name}
@@ -129,8 +133,9 @@
 	})
 }
 
-// NodeVersion is the version that a node's agent has, or that the service has
-// for it: what a call would return now, if it is answered at all.
+// NodeVersion returns the version that a node's agent has or, with OnDemand, that
+// the service has for the node. It is the version that a call would return now,
+// if the call is answered at all.
 func (r *Registry) NodeVersion(now time.Duration, node int) uint64 {
 	r.advanceTo(now)
 	return r.versionOf(node)
@@ -145,8 +150,9 @@
 	return r.oldestVersion() + uint64(arrived) - 1
 }
 
-// snapshotAt is the whole list at a version of the log, or at the one before
-// it. It goes back from the newest version.
+// snapshotAt returns the encoded whole list of version v, which must be in the log
+// or directly precede it. It starts with the newest version and reverts the later
+// changes.
 func (r *Registry) snapshotAt(v uint64) *encodedList {
 	if cached := r.snapshots[v]; cached != nil {
 		return cached
@@ -166,7 +172,8 @@
 	return list
 }
 
-// revert undoes a version in a list of entries, which it may modify.
+// revert undoes the changes of version v in entries, which it may modify, and
+// returns the result.
 func revert(entries []encodedEntry, v listVersion) []encodedEntry {
 	for _, e := range slices.Backward(v.previous) {
 		i, found := findEntry(entries, e.name)
@@ -182,8 +189,9 @@
 	return entries
 }
 
-// changesBetween is what changed after a version up to another: each entry
-// once, as it last became, in the order of the last changes.
+// changesBetween returns the encoded changes of the versions above after, up to
+// and including upTo: each changed entry once, with its last value, in the order
+// of the last changes.
 func (r *Registry) changesBetween(after, upTo uint64) *encodedList {
 	key := versionRange{after, upTo}
 	if cached := r.deltas[key]; cached != nil {
@@ -208,10 +216,10 @@
 	return list
 }
 
-// encode writes a list in the form of the protocol page.
+// encode encodes a list as a response body of the discovery protocol.
 func (r *Registry) encode(version uint64, snapshot bool, entries []encodedEntry) *encodedList {
 	r.listsEncoded++
-	size := 64 // of all but the entries
+	size := 64 // bytes for everything but the entries
 	for _, e := range entries {
 		size += len(e.json) + 1
 	}
@@ -231,8 +239,8 @@
 	return &encodedList{json: text, entries: len(entries)}
 }
 
-// EncodeSnapshot writes a whole list in the form of the protocol page, as a
-// node's configuration contains it.
+// EncodeSnapshot encodes a whole list in the form of the discovery protocol, which
+// is also its form in a node's configuration.
 func EncodeSnapshot(version uint64, entries []Entry) json.RawMessage {
 	list := struct {
 		Index     uint64  `json:"index"`
@@ -241,7 +249,7 @@
 	}{version, true, append([]Entry{}, entries...)}
 	text, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // entries consist of strings and finite numbers
+		panic(err) // cannot occur: entries consist of strings and finite numbers
 	}
 	return text
 }
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// ServerConfig configures a Server. The zero value is one core of speed 1 with
-// no queue and no limit of connections, and always warm.
+// ServerConfig configures a Server. The zero value is a server with one core of
+// speed 1, no queue, no connection limit and no warm-up.
 type ServerConfig struct {
-	Cores      int     // 0: 1
-	Speed      float64 // of a core; 0: 1
+	Cores      int     // number of cores; 0: 1
+	Speed      float64 // speed of a core; 0: 1
 	QueueLimit int     // requests that may wait; Unlimited: any number
 
-	MaxConnections int           // open at once; 0: any number
-	Handshake      time.Duration // work of a new connection, on a core of speed 1
+	MaxConnections int           // connections open at once; 0: any number
+	Handshake      time.Duration // processor time for a new connection, on a core of speed 1
 	IdleTimeout    time.Duration // after which an idle connection is closed; 0: never
 
 	// A server starts with the fraction InitialCapacity of its capacity, which
-	// grows linearly to all of it within WarmupTime. While it warms up, it crashes once
-	// more than N + 2 sqrt(N) + 2 requests of MeanCost reach it within
-	// CrashWindow, where N is CrashFactor times what it could execute then in
-	// CrashWindow.
+	// grows linearly to the full capacity within WarmupTime. While it warms up, it
+	// crashes once the work that reaches it within CrashWindow exceeds that of
+	// N + 2 sqrt(N) + 2 requests of MeanCost. N is CrashFactor times the number of
+	// such requests that it could execute within CrashWindow at its current
+	// capacity.
 	InitialCapacity float64
 	WarmupTime      time.Duration // 0: always warm
 	CrashFactor     float64       // 0: never crashes
 	CrashWindow     time.Duration
-	CrashDowntime   time.Duration // until it starts again
-	MeanCost        time.Duration // mean work of a request, on a core of speed 1; 0: never crashes
+	CrashDowntime   time.Duration // from a crash until the server starts again
+	MeanCost        time.Duration // mean processor time of a request, on a core of speed 1; 0: never crashes
 
 	FailureRate float64                  // fraction of all executions that end Failed
 	KeyStores   [ScopeCell + 1]*KeyStore // by Scope; nil: keys of that scope are not remembered
@@ -35,33 +36,37 @@
 	OnStart func(id uint64, at time.Duration) // called for each request whose execution begins; may be nil
 }
 
-// Unlimited is the QueueLimit of a queue without a limit.
+// Unlimited is the QueueLimit of an unbounded queue.
 const Unlimited = math.MaxInt
 
-// ServerStats counts since the server was made.
+// ServerStats counts what a server did since it was created.
 type ServerStats struct {
 	Served   int // Repeats included
 	Failed   int
 	Rejected int
-	Broken   int // accepted and lost by the end of the process, or sent on a closed connection
-	Repeats  int // answered from a KeyStore
-	Dropped  int // whose client closed before they began
+	Broken   int // accepted and lost when the process ended, sent on a closed connection, or the cause of a crash
+	Repeats  int // requests with a known key, served without another execution
+	Dropped  int // requests whose client closed the connection before their execution began
 
-	Work   time.Duration // done, on a core of speed 1; handshakes included
-	Wasted time.Duration // of Work: executions that failed, broke off, or whose client closed before they ended
-	Busy   time.Duration // core time with work assigned, hangs included
+	Work   time.Duration // executed, in processor time on a core of speed 1; handshakes included
+	Wasted time.Duration // part of Work in executions that failed, were cut short, or were abandoned by the client
+	Busy   time.Duration // core time with a job assigned, hangs included
 
-	Starts          int     // of its process
-	Crashes         int     // while it warms up, by overload
-	WorstWarmupLoad float64 // most that reached it within CrashWindow while it warms up, as a fraction of what it survives; over 1: it crashed
+	Starts  int // starts of the process
+	Crashes int // crashes by overload during the warm-up
+
+	// WorstWarmupLoad is the highest load that reached the server within
+	// CrashWindow during a warm-up, as a fraction of the load that it survives;
+	// above 1 the server crashed.
+	WorstWarmupLoad float64
 
 	Handshakes          int
-	RejectedConnections int // over the limit
-	IdleClosed          int // connections
-	Connections         int // now; expired ones count until the next call
-	PeakConnections     int
-	Running             int // now
-	Waiting             int // now
+	RejectedConnections int // connections over the limit
+	IdleClosed          int // connections closed after the idle timeout
+	Connections         int // open now; those whose idle timeout has expired count until the next call
+	PeakConnections     int // maximum of Connections
+	Running             int // jobs that run now
+	Waiting             int // requests that wait now
 }
 
 // state is whether a server can be reached.
@@ -69,15 +74,17 @@
 
 const (
 	up   state = iota
-	down       // its process has ended: the machine resets and refuses connections
-	lost       // its machine sends nothing
+	down       // the process has ended: the machine resets and refuses connections
+	lost       // the machine is off the network and sends nothing
 )
 
-// Server is a machine with cores and one queue in front of them.
+// Server is the model of a machine with a number of cores and one queue in front
+// of them.
 //
-// Not modelled: the time to make and send a response; work that waits for
-// anything but a core; the wait of a repeated key for an execution that is
-// under way elsewhere; caches and memory.
+// It does not model the time to build and send a response, work that waits for
+// anything but a core, caches or memory. A request with a known key is answered
+// at once, although a real server would wait for an execution of that key that
+// is still under way.
 type Server struct {
 	cfg   ServerConfig
 	rng   Rand
@@ -86,33 +93,34 @@
 	stats ServerStats
 
 	// Process
-	incarnation int           // connections of earlier ones are broken
-	started     time.Duration // the last start
-	warmingUp   bool          // may be false later than the warm-up ends, never earlier
-	crashed     bool          // down until recoverAt
+	incarnation int           // counts ended processes; connections with an older value are broken
+	started     time.Duration // time of the last start
+	warmingUp   bool          // may still be true after the warm-up, but is never false during it
+	crashed     bool          // crashed and down until recoverAt
 	recoverAt   time.Duration
 	hung        bool
 	draining    bool
-	slowdown    float64 // factor
+	slowdown    float64 // factor by which execution is slower than normal
 	failureRate float64
 
 	// Jobs
-	progress  float64 // seconds of work that one core could have done so far; running jobs are measured by it
-	running   []*job  // at most Cores, in order of their start
-	queue     []*job  // from queueHead on, abandoned ones included
+	progress  float64 // seconds of work that one core could have done so far; a running job ends at its endProgress
+	running   []*job  // at most Cores, ordered by start
+	queue     []*job  // waiting jobs from queueHead on, abandoned ones included
 	queueHead int
-	waiting   int // requests in the queue, abandoned ones and handshakes excluded
+	waiting   int // requests in the queue, without abandoned ones and handshakes
 	replies   []Reply
-	idleConns list.List // of *Conn, the one idle longest first
+	idleConns list.List // of *Conn, longest idle first
 
-	// Requests that reached it while it warms up within the last CrashWindow
-	warmupLoad     []loadSample // from warmupLoadHead on
+	// Work that reached the server within the last CrashWindow of a warm-up
+	warmupLoad     []loadSample // valid from warmupLoadHead on
 	warmupLoadHead int
 	warmupLoadSum  time.Duration
 }
 
-// NewServer returns a warm server. rng is used only where some executions
-// fail; a server with an rng of its own behaves alike whatever others do.
+// NewServer returns a warm server. rng decides which executions fail and is used
+// only while the failure rate is between 0 and 1. With an rng of its own, a
+// server behaves the same whatever other servers do.
 func NewServer(cfg ServerConfig, rng Rand) *Server {
 	if cfg.Cores <= 0 {
 		cfg.Cores = 1
@@ -131,17 +139,18 @@
 	return stats
 }
 
-// Up reports whether the process exists, hung ones included.
+// Up reports whether the process exists; it may be hung.
 func (s *Server) Up() bool { return s.state == up }
 
-// Lost reports whether the machine has vanished.
+// Lost reports whether the machine is off the network.
 func (s *Server) Lost() bool { return s.state == lost }
 
-// Started is the time of the last start, and whether there was one.
+// Started returns the time of the last start of the process, and whether there
+// was one.
 func (s *Server) Started() (time.Duration, bool) { return s.started, s.stats.Starts > 0 }
 
-// Next is the time of the next event that happens by itself, and whether there
-// is one.
+// Next returns the time of the next event that occurs without a further call,
+// and whether there is one.
 func (s *Server) Next() (time.Duration, bool) {
 	if len(s.replies) > 0 {
 		return s.replies[0].At, true
@@ -150,8 +159,8 @@
 	return at, ok
 }
 
-// Advance brings the server to a time and returns the requests that ended
-// since the last call.
+// Advance moves the server's time forward to now and returns the replies to
+// requests that ended since the last Advance.
 func (s *Server) Advance(now time.Duration) []Reply {
 	s.advanceTo(now)
 	replies := s.replies
@@ -159,11 +168,12 @@
 	return replies
 }
 
-// noJob is nextEvent's index of the restart after a crash.
+// noJob is the index that nextEvent returns for the restart after a crash.
 const noJob = -1
 
-// nextEvent is the next end of an execution, with its index in running, or of a
-// crashed server's downtime, with noJob.
+// nextEvent returns the time of the next event and whether there is one. The event
+// is the end of the running job at index or, if index is noJob, the restart of a
+// crashed server.
 func (s *Server) nextEvent() (at time.Duration, index int, ok bool) {
 	if s.state == down && s.crashed {
 		return s.recoverAt, noJob, true
@@ -180,7 +190,7 @@
 	return s.timeOfProgress(s.running[first].endProgress), first, true
 }
 
-// advanceTo lets time pass and handles the events in it.
+// advanceTo moves the server's time forward and handles the events up to then.
 func (s *Server) advanceTo(to time.Duration) {
 	for {
 		at, index, ok := s.nextEvent()
@@ -201,7 +211,7 @@
 	s.closeIdleConns()
 }
 
-// elapse moves the time forward, with no event in between.
+// elapse moves the server's time forward over a period without events.
 func (s *Server) elapse(to time.Duration) {
 	if to <= s.now {
 		return
--- a/internal/lab/model/servercapacity.go
+++ b/internal/lab/model/servercapacity.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Capacity is the fraction of its capacity that a server has, 1 when warm. It
-// does not say whether the server is up, slow or hung.
+// Capacity returns the fraction of its full capacity that the server has, which
+// is 1 when it is warm. It does not depend on whether the server is up, slow or
+// hung.
 func (s *Server) Capacity(now time.Duration) float64 {
 	if !s.warmingUp || now >= s.started+s.cfg.WarmupTime {
 		return 1
@@ -14,7 +15,8 @@
 	return s.cfg.InitialCapacity + (1-s.cfg.InitialCapacity)*float64(now-s.started)/float64(s.cfg.WarmupTime)
 }
 
-// capacitySeconds is the integral of Capacity from now to a time.
+// capacitySeconds returns the integral of Capacity from now to a later time, in
+// seconds.
 func (s *Server) capacitySeconds(to time.Duration) float64 {
 	warm := s.started + s.cfg.WarmupTime
 	if !s.warmingUp || s.now >= warm {
@@ -24,9 +26,9 @@
 	return (s.Capacity(s.now)+s.Capacity(mid))/2*(mid-s.now).Seconds() + (to - mid).Seconds()
 }
 
-// timeOfProgress is when progress reaches a value, if nothing changes until
-// then. It inverts capacitySeconds: while the server warms up, capacity grows
-// linearly, so the time is the root of a quadratic.
+// timeOfProgress returns when s.progress reaches a value, if nothing changes until
+// then. It inverts capacitySeconds: capacity grows linearly during the warm-up,
+// so the time is the root of a quadratic equation.
 func (s *Server) timeOfProgress(progress float64) time.Duration {
 	need := max(0, progress-s.progress) * s.slowdown / s.cfg.Speed // seconds at full capacity
 	warm := s.started + s.cfg.WarmupTime
@@ -45,18 +47,18 @@
 	return s.now + ceilNanoseconds(2*need/(from+math.Sqrt(from*from+2*slope*need)))
 }
 
-// ceilNanoseconds rounds seconds up to a whole nanosecond, with a tolerance for
-// the rounding errors of sums.
+// ceilNanoseconds rounds s, in seconds, up to a whole nanosecond. It subtracts
+// 1e-3 ns first, to tolerate the rounding errors of sums.
 func ceilNanoseconds(s float64) time.Duration { return time.Duration(math.Ceil(s*1e9 - 1e-3)) }
 
-// loadSample is work that reached a server that warms up.
+// loadSample is work that reached a server during its warm-up.
 type loadSample struct {
 	at   time.Duration
 	cost time.Duration
 }
 
-// recordWarmupLoad counts work that reaches the server. It returns true if the
-// server crashes under it.
+// recordWarmupLoad records work that reaches the server, if it warms up. It
+// returns true if that work makes the server crash.
 func (s *Server) recordWarmupLoad(cost time.Duration) bool {
 	if s.cfg.CrashFactor <= 0 || s.cfg.MeanCost <= 0 || s.Capacity(s.now) >= 1 {
 		return false
@@ -76,7 +78,7 @@
 	return true
 }
 
-// expireWarmupLoad forgets the samples before the last CrashWindow.
+// expireWarmupLoad removes the samples that are older than CrashWindow.
 func (s *Server) expireWarmupLoad() {
 	for s.warmupLoadHead < len(s.warmupLoad) && s.warmupLoad[s.warmupLoadHead].at <= s.now-s.cfg.CrashWindow {
 		s.warmupLoadSum -= s.warmupLoad[s.warmupLoadHead].cost
@@ -94,8 +96,8 @@
 	s.warmupLoadSum = 0
 }
 
-// crashThreshold is how many requests of mean work a server that warms up survives
-// within CrashWindow.
+// crashThreshold returns how many requests of MeanCost within CrashWindow the
+// server survives at its current warm-up capacity.
 func (s *Server) crashThreshold() float64 {
 	n := s.cfg.CrashFactor * s.Capacity(s.now) * s.cfg.Speed * float64(s.cfg.Cores) * float64(s.cfg.CrashWindow) / float64(s.cfg.MeanCost)
 	return n + 2*math.Sqrt(n) + 2
--- a/internal/lab/model/serverconn.go
+++ b/internal/lab/model/serverconn.go
@@ -5,30 +5,33 @@
 	"time"
 )
 
-// minHandshakeCapacity bounds the delay of a handshake at a server that starts
-// with no capacity at all.
+// minHandshakeCapacity is the least fraction of capacity with which the delay of
+// a handshake is computed. It limits the delay at a server that starts with no
+// capacity at all.
 const minHandshakeCapacity = 0.01
 
 // Conn is a connection to a server. It carries one request at a time.
 type Conn struct {
 	server      *Server
-	incarnation int // of the server's process
+	incarnation int // Server.incarnation when the connection was opened
 	closed      bool
-	job         *job          // under way; nil while idle
+	job         *job          // its request under way; nil while idle
 	idleElement *list.Element // in server.idleConns while idle, else nil
 	idleSince   time.Duration
 }
 
 // Connect opens a connection. The outcome is one of
 //
-//   - Accepted, with the delay by which the first request reaches the server
-//     later: the time of the handshake at the server's present speed;
-//   - Rejected: over the limit, the connection is established but its first
-//     request is rejected, and the connection does not count;
-//   - ConnectionRefused, by the machine of a process that has ended;
-//   - NoResponse, by a machine that has vanished.
+//   - Accepted: the returned duration is the time of the handshake at the
+//     server's current speed, by which the first request arrives later;
+//   - Rejected: the server is at its connection limit. The client sees an
+//     established connection whose first request is rejected; the connection
+//     does not count as open;
+//   - ConnectionRefused: the process has ended, or the load of the handshake
+//     crashes it;
+//   - NoResponse: the machine is off the network.
 //
-// The connection is nil unless it is Accepted.
+// The connection is nil unless the outcome is Accepted.
 func (s *Server) Connect(now time.Duration) (*Conn, time.Duration, Outcome) {
 	s.advanceTo(now)
 	switch s.state {
@@ -51,7 +54,8 @@
 	return c, s.startHandshake(), Accepted
 }
 
-// startHandshake queues the work of a handshake and returns its delay.
+// startHandshake queues the work of a handshake and returns the delay of the
+// first request.
 func (s *Server) startHandshake() time.Duration {
 	if s.cfg.Handshake <= 0 {
 		return 0
@@ -63,21 +67,22 @@
 	return ceilNanoseconds(delay)
 }
 
-// Open reports whether a connection would carry a request to the server's
-// present process. A client cannot see that of a machine that has vanished.
+// Open reports whether a request on the connection would reach the server's
+// current process. It is false for a machine off the network, although a client
+// could not tell.
 func (c *Conn) Open(now time.Duration) bool {
 	s := c.server
 	s.advanceTo(now)
 	return !c.broken() && s.state == up
 }
 
-// broken reports whether the connection is closed or belongs to an earlier
+// broken reports whether the connection is closed or was opened to an earlier
 // process.
 func (c *Conn) broken() bool { return c.closed || c.incarnation != c.server.incarnation }
 
-// CloseConn closes a connection from the client's side. The server notices
-// between executions: a request that waits on the connection is dropped, one
-// that runs goes on to its end without a reply.
+// CloseConn closes a connection from the client's side. The server does not
+// interrupt executions: a request on the connection that still waits is dropped,
+// and one that runs continues to its end without a reply.
 func (s *Server) CloseConn(now time.Duration, c *Conn) {
 	s.advanceTo(now)
 	if c.broken() {
@@ -110,7 +115,7 @@
 	c.idleElement = s.idleConns.PushBack(c)
 }
 
-// markBusy ends the connection's idle timeout, if it runs.
+// markBusy stops the connection's idle timeout, if one is running.
 func (s *Server) markBusy(c *Conn) {
 	if c.idleElement != nil {
 		s.idleConns.Remove(c.idleElement)
--- a/internal/lab/model/serverfaults.go
+++ b/internal/lab/model/serverfaults.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Start starts the process again, to warm up, neither hung nor draining. A process
-// that exists is killed first.
+// Start starts a new process, which warms up and is neither hung nor draining. An
+// existing process is killed first.
 func (s *Server) Start(now time.Duration) {
 	s.advanceTo(now)
 	if s.state == up {
@@ -15,14 +15,14 @@
 	s.startProcess()
 }
 
-// Kill ends the process: its connections break, new ones are refused.
+// Kill ends the process: its connections are reset and new ones refused.
 func (s *Server) Kill(now time.Duration) { s.stop(now, down) }
 
-// Disconnect takes the machine from the network. Its requests end without a
-// reply, and its connections stay open and silent for their clients.
+// Disconnect takes the machine off the network. Its requests end without a reply,
+// and to clients its connections stay open and silent.
 func (s *Server) Disconnect(now time.Duration) { s.stop(now, lost) }
 
-// stop takes the server to a state other than up.
+// stop ends the process, if there is one, and sets a state other than up.
 func (s *Server) stop(now time.Duration, to state) {
 	s.advanceTo(now)
 	if s.state == up {
@@ -32,9 +32,9 @@
 	s.crashed = false
 }
 
-// SetHung suspends the process or lets it continue. While hung it accepts any
-// number of connections and requests and answers none; when it continues, it
-// rejects those beyond its queue's limit.
+// SetHung suspends the process or lets it continue. While hung, it accepts any
+// number of requests, and connections up to MaxConnections, and answers nothing.
+// When it continues, it rejects the waiting requests beyond QueueLimit.
 func (s *Server) SetHung(now time.Duration, on bool) {
 	s.advanceTo(now)
 	if s.hung == on {
@@ -48,7 +48,7 @@
 	s.rejectOverflow()
 }
 
-// rejectOverflow rejects the requests beyond the queue's limit.
+// rejectOverflow rejects the waiting requests beyond QueueLimit.
 func (s *Server) rejectOverflow() {
 	kept := 0
 	for _, j := range s.queue[s.queueHead:] {
@@ -66,7 +66,7 @@
 }
 
 // SetSlowdown makes the server slower by a factor; 1 is its normal speed. The
-// load that a server that warms up survives does not change.
+// load that the server survives during its warm-up does not change.
 func (s *Server) SetSlowdown(now time.Duration, factor float64) {
 	s.advanceTo(now)
 	if factor > 0 {
@@ -74,8 +74,8 @@
 	}
 }
 
-// SetFailureRate makes a fraction of the executions end Failed, those under way
-// included. A negative fraction restores the configured one.
+// SetFailureRate makes a fraction of the executions end Failed, including those
+// under way. A negative fraction restores the configured one.
 func (s *Server) SetFailureRate(now time.Duration, fraction float64) {
 	s.advanceTo(now)
 	if fraction < 0 {
@@ -85,14 +85,15 @@
 }
 
 // SetDraining makes the server reject all new requests, or accept them again.
-// Accepted requests run to their end. A server that is only listed as draining
-// still serves; the caller decides whether and when it drains.
+// Accepted requests run to their end. The status Draining in discovery's list has
+// no such effect: the caller decides whether and when the server drains.
 func (s *Server) SetDraining(now time.Duration, on bool) {
 	s.advanceTo(now)
 	s.draining = on
 }
 
-// endProcess ends the process; the server's state becomes to.
+// endProcess ends the process and all its requests and connections, and sets the
+// given state.
 func (s *Server) endProcess(to state) {
 	for _, j := range s.running {
 		done := time.Duration(math.Round((min(s.progress, j.endProgress) - j.startProgress) * 1e9))
@@ -123,7 +124,7 @@
 	s.crashed = false
 }
 
-// startProcess starts a process, which warms up.
+// startProcess starts a new process at the beginning of its warm-up.
 func (s *Server) startProcess() {
 	s.state = up
 	s.crashed = false
--- a/internal/lab/model/serverjobs.go
+++ b/internal/lab/model/serverjobs.go
@@ -5,25 +5,26 @@
 // job is a request or a handshake that a server has accepted.
 type job struct {
 	Work
-	conn          *Conn // nil: none is modelled
+	conn          *Conn // nil: the connection is not modelled
 	handshake     bool
-	abandoned     bool // its client has closed
+	abandoned     bool // ended already: the client closed the connection, or the request was rejected while queued
 	started       bool
-	keys          *KeyStore // where its key is recorded; nil: nowhere
-	startProgress float64   // the server's progress at its start
-	endProgress   float64   // and at its end
+	keys          *KeyStore // store that has recorded its key; nil: none
+	startProgress float64   // Server.progress at the start of the execution
+	endProgress   float64   // Server.progress at the end of the execution
 }
 
-// Arrive brings a request. The outcome is Accepted, with a Reply from a later
-// Advance, or the request ends at once:
+// Arrive passes a request to the server. The outcome is Accepted, and a later
+// Advance returns the Reply, or the request has ended with one of
 //
-//   - Rejected, never executed;
-//   - ConnectionReset, on a connection that the server had closed, or because
-//     the server crashes;
-//   - ConnectionRefused, without a connection;
-//   - NoResponse.
+//   - Rejected: the queue is full or the server drains; the request was never
+//     executed;
+//   - ConnectionReset: c was closed or belongs to an earlier process, or the
+//     load of the request crashes the server;
+//   - ConnectionRefused: the process has ended, and c is nil;
+//   - NoResponse: the machine is off the network.
 //
-// A nil connection stands for one that the caller does not model.
+// A nil c stands for a connection that the caller does not model.
 func (s *Server) Arrive(now time.Duration, c *Conn, w Work) Outcome {
 	s.advanceTo(now)
 	switch {
@@ -58,8 +59,8 @@
 	return Accepted
 }
 
-// full reports whether a new request is rejected. A hung process cannot reject;
-// it does so when it continues.
+// full reports whether a new request must be rejected. A hung process cannot
+// reject requests; it does so when it continues.
 func (s *Server) full() bool {
 	if s.hung {
 		return false
@@ -67,7 +68,7 @@
 	return s.draining || len(s.running) == s.cfg.Cores && s.waiting >= s.cfg.QueueLimit
 }
 
-// startJobs starts queued jobs on the free cores.
+// startJobs starts queued jobs while cores are free.
 func (s *Server) startJobs() {
 	for s.state == up && !s.hung && s.queueHead < len(s.queue) && len(s.running) < s.cfg.Cores {
 		j := s.queue[s.queueHead]
@@ -83,7 +84,7 @@
 	}
 }
 
-// startJob runs a job, or replies at once to a repeated key.
+// startJob starts a job on a core, or replies at once if its key is known.
 func (s *Server) startJob(j *job) {
 	if !j.handshake {
 		s.waiting--
@@ -106,7 +107,7 @@
 	}
 }
 
-// finishJob ends a job that has run to its end.
+// finishJob handles the end of an execution and replies to its request.
 func (s *Server) finishJob(j *job) {
 	s.stats.Work += j.Cost
 	if j.handshake {
@@ -130,7 +131,7 @@
 	}
 }
 
-// reply ends a request that was accepted, and frees its connection.
+// reply ends an accepted request and makes its connection idle.
 func (s *Server) reply(j *job, outcome Outcome, repeat bool) {
 	s.replies = append(s.replies, Reply{ID: j.ID, Outcome: outcome, At: s.now, Repeat: repeat})
 	if j.conn != nil {
