--- a/internal/lab/model/serverjobs.go
+++ b/internal/lab/model/serverjobs.go
@@ -60,7 +60,7 @@
 }
 
 // full reports whether a new request must be rejected. A hung process cannot
-// reject requests; it does so when it continues.
+// reject requests; rejectOverflow does so when the process continues.
 func (s *Server) full() bool {
 	if s.hung {
 		return false
