--- a/internal/lab/arrivals/arrivals.go
+++ b/internal/lab/arrivals/arrivals.go
@@ -42,18 +42,18 @@
 // of any length, and it may be drawn again.
 func All(s *scenario.Scenario) iter.Seq[Arrival] {
 	return func(yield func(Arrival) bool) {
-		d := newDrawer(s)
+		g := newGenerator(s)
 		for n := 0; ; n++ {
-			at := d.nextTime()
-			if at >= s.Length.Seconds() || !yield(d.arrival(n, at)) {
+			at := g.nextTime()
+			if at >= s.Length.Seconds() || !yield(g.arrival(n, at)) {
 				return
 			}
 		}
 	}
 }
 
-// drawer draws the attributes of arrivals.
-type drawer struct {
+// generator draws the attributes of arrivals.
+type generator struct {
 	scenario *scenario.Scenario
 	at       float64 // of the last arrival, in seconds
 	gaps     distuv.Exponential
@@ -64,9 +64,9 @@
 	work     []distuv.Rander // by class, in seconds
 }
 
-func newDrawer(s *scenario.Scenario) *drawer {
+func newGenerator(s *scenario.Scenario) *generator {
 	source := func(stream uint64) rand.Source { return rand.NewPCG(s.Seed, stream) }
-	d := &drawer{
+	g := &generator{
 		scenario: s,
 		gaps:     distuv.Exponential{Rate: 1, Src: source(streamTimes)},
 		nodes:    distuv.NewCategorical(NodeWeights(s), source(streamNodes)),
@@ -77,38 +77,38 @@
 	var shares []float64
 	for _, c := range s.Classes {
 		shares = append(shares, c.Share)
-		d.work = append(d.work, workDistribution(c, workSource))
+		g.work = append(g.work, workDistribution(c, workSource))
 	}
-	d.classes = distuv.NewCategorical(shares, source(streamClasses))
-	return d
+	g.classes = distuv.NewCategorical(shares, source(streamClasses))
+	return g
 }
 
 // nextTime draws the time of the next arrival, in seconds: a step of a process
 // of rate 1, spread over the intervals of constant rate.
-func (d *drawer) nextTime() float64 {
-	left := d.gaps.Rand()
+func (g *generator) nextTime() float64 {
+	left := g.gaps.Rand()
 	for {
-		rate, until := rateAt(d.scenario, d.at)
-		if end := d.at + left/rate; end < until {
-			d.at = end
-			return d.at
+		rate, until := rateAt(g.scenario, g.at)
+		if end := g.at + left/rate; end < until {
+			g.at = end
+			return g.at
 		}
-		left -= (until - d.at) * rate
-		d.at = until
+		left -= (until - g.at) * rate
+		g.at = until
 	}
 }
 
 // arrival draws the attributes of an arrival.
-func (d *drawer) arrival(number int, at float64) Arrival {
+func (g *generator) arrival(number int, at float64) Arrival {
 	a := Arrival{
 		Number: number,
 		At:     time.Duration(at * float64(time.Second)),
-		Node:   int(d.nodes.Rand()),
-		Class:  int(d.classes.Rand()),
-		Key:    d.keys(),
-		Tenant: d.tenants(),
+		Node:   int(g.nodes.Rand()),
+		Class:  int(g.classes.Rand()),
+		Key:    g.keys(),
+		Tenant: g.tenants(),
 	}
-	a.Work = max(1, time.Duration(d.work[a.Class].Rand()*float64(time.Second)))
+	a.Work = max(1, time.Duration(g.work[a.Class].Rand()*float64(time.Second)))
 	return a
 }
 
--- a/internal/lab/arrivals/arrivals_test.go
+++ b/internal/lab/arrivals/arrivals_test.go
@@ -12,7 +12,7 @@
 	"bankshift/internal/lab/scenario"
 )
 
-const text = `seed = 7
+const scenarioText = `seed = 7
 length = "20s"
 [fleet]
 nodes = 5
@@ -52,7 +52,7 @@
 
 func load(t testing.TB) *scenario.Scenario {
 	t.Helper()
-	s, err := scenario.Parse("test.toml", []byte(text))
+	s, err := scenario.Parse("test.toml", []byte(scenarioText))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scenario/event.go
+++ b/internal/lab/scenario/event.go
@@ -60,7 +60,7 @@
 	nodes       bool // affects single nodes
 	hasDuration bool
 	hasFactor   bool
-	hasPlace    bool // Zone or Region
+	hasLocation bool // Zone or Region
 }
 
 var actionRules = map[Action]actionRule{
@@ -71,7 +71,7 @@
 	SlowServers:     {servers: true, hasDuration: true, hasFactor: true},
 	FailServers:     {servers: true, hasDuration: true},
 	LoseServers:     {servers: true, hasDuration: true},
-	Cut:             {hasDuration: true, hasPlace: true},
+	Cut:             {hasDuration: true, hasLocation: true},
 	KillNodes:       {nodes: true},
 	RestartNodes:    {nodes: true},
 	ChangeLists:     {servers: true},
--- a/internal/lab/scenario/keylines.go
+++ b/internal/lab/scenario/keylines.go
@@ -10,10 +10,10 @@
 
 // keyLines maps the keys of a file, written as in class[0].aim, to their lines.
 type keyLines struct {
-	lineOf map[string]int // of tables and keys, by path
-	pathOf map[int]string // of the key whose value is on a line
-	faulty map[int]bool   // lines with a fault
-	rest   []byte         // of the file from a syntax error on
+	lineOf   map[string]int // of tables and keys, by path
+	pathOf   map[int]string // of the key whose value is on a line
+	hasError map[int]bool   // lines with a fault
+	unparsed []byte         // of the file from a syntax error on
 }
 
 // line finds a key or, where it is missing, the table that it belongs to.
@@ -30,7 +30,7 @@
 // findKeys parses a file for its keys. With a syntax error the result has rest.
 func findKeys(raw []byte) (*keyLines, error) {
 	finder := keyFinder{
-		keys:   &keyLines{lineOf: map[string]int{}, pathOf: map[int]string{}, faulty: map[int]bool{}},
+		keys:   &keyLines{lineOf: map[string]int{}, pathOf: map[int]string{}, hasError: map[int]bool{}},
 		counts: map[string]int{},
 	}
 	finder.parser.Reset(raw)
@@ -40,7 +40,7 @@
 	err := finder.parser.Error()
 	var syntax *unstable.ParserError
 	if errors.As(err, &syntax) && len(syntax.Highlight) > 0 {
-		finder.keys.rest = raw[finder.parser.Range(syntax.Highlight).Offset:]
+		finder.keys.unparsed = raw[finder.parser.Range(syntax.Highlight).Offset:]
 	}
 	return finder.keys, err
 }
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -38,44 +38,44 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s:%d: not TOML: %w", file, keys.syntaxErrorLine(raw, err), err)
 	}
-	faults := faultList{file: file}
-	s := decode(raw, keys, &faults)
+	errs := errorList{file: file}
+	s := decode(raw, keys, &errs)
 	s.fillDefaults()
 	s.validate(func(key, format string, args ...any) {
-		if line := keys.line(key); !keys.faulty[line] {
-			faults.add(line, key, format, args...)
+		if line := keys.line(key); !keys.hasError[line] {
+			errs.add(line, key, format, args...)
 		}
 	})
-	if err := faults.err(); err != nil {
+	if err := errs.err(); err != nil {
 		return nil, err
 	}
 	return &s, nil
 }
 
-// fault is one error of a file.
-type fault struct {
+// lineError is one error of a file.
+type lineError struct {
 	line int
 	err  error
 }
 
-// faultList collects the faults of a file.
-type faultList struct {
-	file   string
-	faults []fault
+// errorList collects the faults of a file.
+type errorList struct {
+	file string
+	errs []lineError
 }
 
-func (l *faultList) add(line int, key, format string, args ...any) {
+func (l *errorList) add(line int, key, format string, args ...any) {
 	err := fmt.Errorf("%s:%d: %s: %s", l.file, line, key, fmt.Sprintf(format, args...))
-	l.faults = append(l.faults, fault{line, err})
+	l.errs = append(l.errs, lineError{line, err})
 }
 
 // err joins the faults in the order of their lines; nil if there are none.
-func (l *faultList) err() error {
-	slices.SortFunc(l.faults, func(a, b fault) int {
+func (l *errorList) err() error {
+	slices.SortFunc(l.errs, func(a, b lineError) int {
 		return cmp.Or(cmp.Compare(a.line, b.line), cmp.Compare(a.err.Error(), b.err.Error()))
 	})
-	errs := make([]error, len(l.faults))
-	for i, f := range l.faults {
+	errs := make([]error, len(l.errs))
+	for i, f := range l.errs {
 		errs[i] = f.err
 	}
 	return errors.Join(errs...)
@@ -84,7 +84,7 @@
 // decode reads a scenario on top of the defaults. The TOML library stops at the
 // first value of a wrong type, so the line of each is blanked and the rest is
 // read again.
-func decode(raw []byte, keys *keyLines, faults *faultList) Scenario {
+func decode(raw []byte, keys *keyLines, errs *errorList) Scenario {
 	lines := bytes.SplitAfter(raw, []byte("\n"))
 	for {
 		s := defaults()
@@ -93,21 +93,21 @@
 		if errors.As(err, &unknown) {
 			for _, e := range unknown.Errors {
 				line, _ := e.Position()
-				faults.add(line, strings.Join(e.Key(), "."), "is unknown, want one of the keys of package scenario")
+				errs.add(line, strings.Join(e.Key(), "."), "is unknown, want one of the keys of package scenario")
 			}
 			return s
 		}
 		var wrongType *toml.DecodeError
 		if !errors.As(err, &wrongType) {
 			if err != nil {
-				faults.add(0, "file", "%v", err)
+				errs.add(0, "file", "%v", err)
 			}
 			return s
 		}
 		line, _ := wrongType.Position()
 		path := keys.pathOf[line]
-		faults.add(line, path, "%s", cmp.Or(expectedValue(reflect.TypeFor[Scenario](), path), wrongType.Error()))
-		keys.faulty[line] = true
+		errs.add(line, path, "%s", cmp.Or(expectedValue(reflect.TypeFor[Scenario](), path), wrongType.Error()))
+		keys.hasError[line] = true
 		lines[line-1] = []byte("\n")
 		if toml.Unmarshal(bytes.Join(lines, nil), new(map[string]any)) != nil {
 			return s // the value continues on the next line
@@ -173,5 +173,5 @@
 	if !errors.As(err, &syntax) {
 		return 0
 	}
-	return 1 + bytes.Count(raw[:len(raw)-len(k.rest)], []byte("\n"))
+	return 1 + bytes.Count(raw[:len(raw)-len(k.unparsed)], []byte("\n"))
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -11,7 +11,7 @@
 	"bankshift/internal/node"
 )
 
-const small = `about = "a test"
+const smallScenario = `about = "a test"
 length = "4s"
 warm = "1s"
 [fleet]
@@ -69,8 +69,8 @@
 	return s
 }
 
-func TestParseNamesEveryFault(t *testing.T) {
-	parse(t, small)
+func TestParseReportsEveryError(t *testing.T) {
+	parse(t, smallScenario)
 	for _, c := range []struct {
 		old, new string
 		want     []string // beginnings of the lines of the error
@@ -93,8 +93,8 @@
 		{"nodes = 4\nmax_attempts = 2\n[servers]\ncount = 10", "nodes = -1\nmax_attempts = 2\nodd = 1\n[servers]\ncount = true",
 			[]string{"test.toml:5: fleet.nodes: is -1", "test.toml:7: fleet.odd: is unknown", "test.toml:9: servers.count: want a whole number"}},
 	} {
-		text := strings.Replace(small, c.old, c.new, 1)
-		if text == small {
+		text := strings.Replace(smallScenario, c.old, c.new, 1)
+		if text == smallScenario {
 			t.Fatalf("%q is not there", c.old)
 		}
 		_, err := Parse("test.toml", []byte(text))
@@ -114,7 +114,7 @@
 }
 
 func TestNodeAcceptsItsConfig(t *testing.T) {
-	s := parse(t, small)
+	s := parse(t, smallScenario)
 	raw, err := s.NodeConfig(3, NodeStart{Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2"})
 	if err != nil {
 		t.Fatal(err)
@@ -148,7 +148,7 @@
 }
 
 func TestTopology(t *testing.T) {
-	s := parse(t, small)
+	s := parse(t, smallScenario)
 	names, cells, big := map[string]bool{}, map[int]string{}, 0
 	for i := range 20 {
 		v := s.Server(i)
@@ -173,7 +173,7 @@
 }
 
 func TestSteps(t *testing.T) {
-	s := parse(t, small)
+	s := parse(t, smallScenario)
 	got := s.Steps(0)
 	if len(got) != 3 || !reflect.DeepEqual(got, s.Steps(0)) {
 		t.Fatalf("steps %+v, want three, and the same again", got)
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -9,19 +9,19 @@
 // under its key in the file, such as class[0].aim.
 type validator struct {
 	scenario *Scenario
-	fault    func(key, format string, args ...any)
+	report   func(key, format string, args ...any)
 	zones    map[string]bool
 	regions  map[string]bool
 }
 
 // validate reports the faults of a scenario.
-func (s *Scenario) validate(fault func(key, format string, args ...any)) {
-	v := &validator{scenario: s, fault: fault, zones: map[string]bool{}, regions: map[string]bool{}}
-	v.run()
+func (s *Scenario) validate(report func(key, format string, args ...any)) {
+	v := &validator{scenario: s, report: report, zones: map[string]bool{}, regions: map[string]bool{}}
+	v.timingAndNetwork()
 	v.fleet()
 	v.servers()
 	v.traffic()
-	v.placement()
+	v.zonesAndRegions()
 	v.machineTypes()
 	v.classes()
 	for i, e := range s.Events {
@@ -30,10 +30,10 @@
 	v.bounds()
 }
 
-func (v *validator) run() {
+func (v *validator) timingAndNetwork() {
 	s := v.scenario
 	if s.Length <= s.Warmup {
-		v.fault("length", "is %v, want more than warm, %v", s.Length, s.Warmup)
+		v.report("length", "is %v, want more than warm, %v", s.Length, s.Warmup)
 	}
 	v.positive("net.connect_timeout", s.Network.ConnectTimeout.Seconds())
 	v.fraction("net.late_dials", s.Network.LateDials)
@@ -48,7 +48,7 @@
 	v.positive("fleet.max_open", float64(f.MaxOpenRequests))
 	v.positive("fleet.max_attempts", float64(f.MaxAttempts))
 	if f.Sockets < minSockets {
-		v.fault("fleet.sockets", "is %d, want %d or more", f.Sockets, minSockets)
+		v.report("fleet.sockets", "is %d, want %d or more", f.Sockets, minSockets)
 	}
 }
 
@@ -80,7 +80,7 @@
 	v.notNegative("traffic.retries", float64(t.Retries))
 }
 
-func (v *validator) placement() {
+func (v *validator) zonesAndRegions() {
 	for i, z := range v.scenario.Zones {
 		v.uniqueName(fmt.Sprintf("zone[%d].name", i), z.Name, v.zones)
 		v.regions[z.Region] = true
@@ -100,7 +100,7 @@
 
 func (v *validator) classes() {
 	if len(v.scenario.Classes) == 0 {
-		v.fault("class", "is missing, want at least one")
+		v.report("class", "is missing, want at least one")
 	}
 	names := map[string]bool{}
 	for i, c := range v.scenario.Classes {
@@ -114,7 +114,7 @@
 		v.fraction(prefix+"late_worth", c.LateWeight)
 		v.positive(prefix+"aim", c.LatencyObjective.Seconds())
 		if c.Deadline < c.LatencyObjective {
-			v.fault(prefix+"deadline", "is %v, want the aim, %v, or more", c.Deadline, c.LatencyObjective)
+			v.report(prefix+"deadline", "is %v, want the aim, %v, or more", c.Deadline, c.LatencyObjective)
 		}
 	}
 }
@@ -123,74 +123,74 @@
 	switch c.Idempotency {
 	case Idempotent, NotIdempotent, IdempotentByKey:
 	default:
-		v.fault(prefix+"effect", "is %q, want safe, keyed or unsafe", c.Idempotency)
+		v.report(prefix+"effect", "is %q, want safe, keyed or unsafe", c.Idempotency)
 	}
 	if c.Idempotency != IdempotentByKey {
 		if c.KeyScope != "" || c.KeyWindow != 0 {
-			v.fault(prefix+"effect", "is %q, want keyed with scope or window", c.Idempotency)
+			v.report(prefix+"effect", "is %q, want keyed with scope or window", c.Idempotency)
 		}
 		return
 	}
 	switch c.KeyScope {
 	case ScopeAll, ScopeZone, ScopeCell:
 	default:
-		v.fault(prefix+"scope", "is %q, want all, zone or cell", c.KeyScope)
+		v.report(prefix+"scope", "is %q, want all, zone or cell", c.KeyScope)
 	}
 }
 
 func (v *validator) event(prefix string, e Event) {
 	rule, known := actionRules[e.Action]
 	if !known {
-		v.fault(prefix+"do", "is %q, want one of %q", e.Action, Actions)
+		v.report(prefix+"do", "is %q, want one of %q", e.Action, Actions)
 		return
 	}
 	if e.At >= v.scenario.Length {
-		v.fault(prefix+"at", "is %v, want before the end, %v", e.At, v.scenario.Length)
+		v.report(prefix+"at", "is %v, want before the end, %v", e.At, v.scenario.Length)
 	}
 	switch {
 	case rule.hasDuration && e.Duration == 0:
-		v.fault(prefix+"for", "is 0s, want over 0 for %s", e.Action)
+		v.report(prefix+"for", "is 0s, want over 0 for %s", e.Action)
 	case !rule.hasDuration && e.Duration != 0:
-		v.fault(prefix+"for", "is %v, want none for %s", e.Duration, e.Action)
+		v.report(prefix+"for", "is %v, want none for %s", e.Duration, e.Action)
 	}
 	switch {
 	case rule.hasFactor && !(e.Factor > 0):
-		v.fault(prefix+"by", "is %v, want over 0 for %s", e.Factor, e.Action)
+		v.report(prefix+"by", "is %v, want over 0 for %s", e.Factor, e.Action)
 	case !rule.hasFactor && e.Factor != 0:
-		v.fault(prefix+"by", "is %v, want none for %s", e.Factor, e.Action)
+		v.report(prefix+"by", "is %v, want none for %s", e.Factor, e.Action)
 	}
-	v.eventPlace(prefix, e, rule)
+	v.eventLocation(prefix, e, rule)
 	v.eventTargets(prefix, e, rule)
 }
 
-func (v *validator) eventPlace(prefix string, e Event, rule actionRule) {
-	if rule.hasPlace && e.Zone == "" && e.Region == "" {
-		v.fault(prefix+"zone", "is missing, want a zone or a region for %s", e.Action)
+func (v *validator) eventLocation(prefix string, e Event, rule actionRule) {
+	if rule.hasLocation && e.Zone == "" && e.Region == "" {
+		v.report(prefix+"zone", "is missing, want a zone or a region for %s", e.Action)
 	}
 	if e.Zone != "" && e.Region != "" {
-		v.fault(prefix+"region", "is %q beside zone %q, want one of the two", e.Region, e.Zone)
+		v.report(prefix+"region", "is %q beside zone %q, want one of the two", e.Region, e.Zone)
 	}
 	if e.Zone != "" && !v.zones[e.Zone] {
-		v.fault(prefix+"zone", "is %q, want the name of a zone", e.Zone)
+		v.report(prefix+"zone", "is %q, want the name of a zone", e.Zone)
 	}
 	if e.Region != "" && !v.regions[e.Region] {
-		v.fault(prefix+"region", "is %q, want a region of a zone", e.Region)
+		v.report(prefix+"region", "is %q, want a region of a zone", e.Region)
 	}
 }
 
 func (v *validator) eventTargets(prefix string, e Event, rule actionRule) {
 	hasTargets := rule.servers || rule.nodes
 	if !(e.Fraction >= 0 && e.Fraction <= 1) || e.Fraction > 0 && !hasTargets {
-		v.fault(prefix+"part", "is %v, want a part from 0 to 1 of servers or nodes", e.Fraction)
+		v.report(prefix+"part", "is %v, want a part from 0 to 1 of servers or nodes", e.Fraction)
 	}
 	if e.Count < 0 || e.Count > 0 && (!hasTargets || e.Fraction > 0) {
-		v.fault(prefix+"count", "is %d, want a number of servers or nodes, instead of part", e.Count)
+		v.report(prefix+"count", "is %d, want a number of servers or nodes, instead of part", e.Count)
 	}
 	if e.Action == ChangeLists && e.Count == 0 {
-		v.fault(prefix+"count", "is 0, want the number of changes")
+		v.report(prefix+"count", "is 0, want the number of changes")
 	}
 	if hasTargets && len(v.scenario.candidates(e)) == 0 {
-		v.fault(prefix+"do", "strikes nothing there")
+		v.report(prefix+"do", "strikes nothing there")
 	}
 }
 
@@ -206,32 +206,32 @@
 
 func (v *validator) positive(key string, x float64) {
 	if !(x > 0) {
-		v.fault(key, "is %v, want over 0", x)
+		v.report(key, "is %v, want over 0", x)
 	}
 }
 
 func (v *validator) notNegative(key string, x float64) {
 	if !(x >= 0) {
-		v.fault(key, "is %v, want 0 or more", x)
+		v.report(key, "is %v, want 0 or more", x)
 	}
 }
 
 func (v *validator) fraction(key string, x float64) {
 	if !(x >= 0 && x <= 1) {
-		v.fault(key, "is %v, want a part from 0 to 1", x)
+		v.report(key, "is %v, want a part from 0 to 1", x)
 	}
 }
 
 func (v *validator) skew(key string, x float64) {
 	if x != 0 && !(x > 1) {
-		v.fault(key, "is %v, want over 1, or 0 for all alike", x)
+		v.report(key, "is %v, want over 1, or 0 for all alike", x)
 	}
 }
 
 // uniqueName reports a name that is empty or already seen.
 func (v *validator) uniqueName(key, name string, seen map[string]bool) {
 	if name == "" || seen[name] {
-		v.fault(key, "is %q, want a name of its own", name)
+		v.report(key, "is %q, want a name of its own", name)
 	}
 	seen[name] = true
 }
--- a/internal/lab/setup/setup.go
+++ b/internal/lab/setup/setup.go
@@ -48,7 +48,7 @@
 		FailureRate:     c.FailureRate,
 	}
 	if c.Deduplicate {
-		config.KeyStores = stores.of(server)
+		config.KeyStores = stores.forServer(server)
 	}
 	return config
 }
@@ -80,9 +80,9 @@
 	stores map[string]*model.KeyStore
 }
 
-// of returns the stores of a server, which it shares with the others of each
-// scope.
-func (k *KeyStores) of(server scenario.Server) [model.ScopeCell + 1]*model.KeyStore {
+// forServer returns the store of each scope for a server. Servers in the same
+// zone or cell share the store of that scope.
+func (k *KeyStores) forServer(server scenario.Server) [model.ScopeCell + 1]*model.KeyStore {
 	return [...]*model.KeyStore{
 		model.ScopeAll:  k.store("all"),
 		model.ScopeZone: k.store("zone " + server.Zone),
--- a/internal/lab/setup/setup_test.go
+++ b/internal/lab/setup/setup_test.go
@@ -10,9 +10,9 @@
 
 func TestKeyStoresAreSharedByScope(t *testing.T) {
 	var stores KeyStores
-	a := stores.of(scenario.Server{Zone: "a", Cell: 1})
-	sameZone := stores.of(scenario.Server{Zone: "a", Cell: 2})
-	otherZone := stores.of(scenario.Server{Zone: "1", Cell: 3})
+	a := stores.forServer(scenario.Server{Zone: "a", Cell: 1})
+	sameZone := stores.forServer(scenario.Server{Zone: "a", Cell: 2})
+	otherZone := stores.forServer(scenario.Server{Zone: "1", Cell: 3})
 	if a[model.ScopeAll] != otherZone[model.ScopeAll] || a[model.ScopeZone] != sameZone[model.ScopeZone] {
 		t.Error("servers of one scope do not share its store")
 	}
