--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -7,8 +7,9 @@
 	second      = Duration(time.Second)
 )
 
-// defaults is what a file leaves out. The figures of servers and rules are those
-// of the example settings on the wire's page.
+// defaults returns the values of keys that a file leaves out. The values for the
+// servers and for the rules that nodes must follow are those of the example
+// settings in the documentation of the wire protocol.
 func defaults() Scenario {
 	return Scenario{
 		Seed:   1,
@@ -71,10 +72,12 @@
 	}
 }
 
-// defaultKeyWindow is how long keys are remembered where a class does not say.
+// defaultKeyWindow is how long servers remember idempotency keys of a class
+// without a window.
 const defaultKeyWindow = Duration(5 * time.Second)
 
-// fillDefaults fills in what defaults cannot: lists and their entries.
+// fillDefaults sets the defaults of lists and of their entries, which are known
+// only after the file is decoded.
 func (s *Scenario) fillDefaults() {
 	if len(s.Zones) == 0 {
 		s.Zones = []Zone{{Name: "a", Region: "a"}}
@@ -102,7 +105,7 @@
 	}
 }
 
-// setDefault replaces a zero value.
+// setDefault sets *v to value if it is zero, even if the file says zero.
 func setDefault[T comparable](v *T, value T) {
 	var zero T
 	if *v == zero {
--- a/internal/lab/scenario/duration.go
+++ b/internal/lab/scenario/duration.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-const durationWanted = `want a time of 0 or more in quotes and with its unit, as in "250ms"`
+const durationWanted = `want a duration of 0 or more in quotes and with a unit, as in "250ms"`
 
-// Duration is a time in a scenario file, written as in Go: "250ms", "30s". It
-// is never negative.
+// Duration is a duration in a scenario file, written as in Go: "250ms", "30s".
+// UnmarshalText rejects negative values.
 type Duration time.Duration
 
-// UnmarshalText reads a time with its unit.
+// UnmarshalText parses a duration with its unit.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil || v < 0 {
@@ -21,14 +21,14 @@
 	return nil
 }
 
-// MarshalText writes a time as UnmarshalText reads it.
+// MarshalText formats a duration as UnmarshalText parses it.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
 // String formats d like a time.Duration.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// Std is d for package time.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Seconds is d as a number of seconds.
+// Seconds returns d in seconds.
 func (d Duration) Seconds() float64 { return time.Duration(d).Seconds() }
--- a/internal/lab/scenario/event.go
+++ b/internal/lab/scenario/event.go
@@ -9,42 +9,48 @@
 	"time"
 )
 
-// Event is a fault or a planned operation.
+// Event is an injected fault or a planned operation.
 type Event struct {
-	At       Duration `toml:"at"`     // since the start of the traffic
-	Duration Duration `toml:"for"`    // until it ends by itself
-	Spread   Duration `toml:"over"`   // over which its steps are spread evenly
-	Action   Action   `toml:"do"`     //
-	Fraction float64  `toml:"part"`   // of the servers or nodes, which it affects; 0: all
-	Zone     string   `toml:"zone"`   // to which it is limited; "": no limit
-	Region   string   `toml:"region"` // to which it is limited; "": no limit
-	Count    int      `toml:"count"`  // of servers or nodes, instead of Fraction
-	Factor   float64  `toml:"by"`     // of SlowServers and Burst
+	At       Duration `toml:"at"`   // since the start of the traffic
+	Duration Duration `toml:"for"`  // time after which it ends by itself
+	Spread   Duration `toml:"over"` // time over which its steps are spread evenly
+	Action   Action   `toml:"do"`
+	Fraction float64  `toml:"part"`   // fraction of the servers or nodes that it affects; 0: all
+	Zone     string   `toml:"zone"`   // zone that it is limited to; "": no limit
+	Region   string   `toml:"region"` // region that it is limited to; "": no limit
+	Count    int      `toml:"count"`  // number of servers or nodes, instead of Fraction; with ChangeLists, of changes
+	Factor   float64  `toml:"by"`     // multiplier of SlowServers and Burst
 }
 
 // Action is what an Event does.
 type Action string
 
-// The actions are the same in both kinds of run. A server that is killed, hangs
-// or vanishes stays listed as it was; its start, when it is back, is listed at
-// once. A server that is only listed as draining still serves. Where an event
-// ends, it ends for the servers that it began with, not for their successors.
+// Actions have the same effect with real processes and with hollow nodes; only
+// Cut works with hollow nodes alone. A server that is killed, hangs or is
+// disconnected stays in the endpoint list unchanged; when it starts again, the
+// start is published at once. A server that DrainServers lists as draining still
+// serves. The end of an event applies to the servers that it began with, not to
+// their successors.
 const (
-	RestartServers  Action = "restart-servers"  // are killed, start again after Duration
-	ReplaceServers  Action = "replace-servers"  // are drained, removed after twice the drain grace; successors with new names warm up
-	DrainServers    Action = "drain-servers"    // are listed as draining for Duration, then as ready
-	HangServers     Action = "hang-servers"     // accept requests and answer none for Duration
-	SlowServers     Action = "slow-servers"     // are slower by Factor for Duration
-	FailServers     Action = "fail-servers"     // answer 500 for Duration
-	LoseServers     Action = "lose-servers"     // vanish from the network for Duration, then start again
-	Cut             Action = "cut"              // nodes and servers of Zone or Region reach only each other for Duration, discovery included
-	KillNodes       Action = "kill-nodes"       // at once; they start again after Fleet.RestartTime
-	RestartNodes    Action = "restart-nodes"    // shut down in order, then as KillNodes
-	ChangeLists     Action = "change-lists"     // Count changes of weights over Spread
-	DiscoveryDown   Action = "discovery-down"   // refuses calls for Duration
-	DiscoverySilent Action = "discovery-silent" // accepts calls and answers none for Duration
-	WatchesBreak    Action = "watches-break"    // open watches are reset
-	Burst           Action = "burst"            // Factor times the traffic for Duration
+	RestartServers Action = "restart-servers" // servers are killed and start again after Duration
+	// Servers are drained and, after twice the drain grace, removed; successors
+	// with new names start in their place and warm up.
+	ReplaceServers Action = "replace-servers"
+	DrainServers   Action = "drain-servers" // servers are listed as draining for Duration, then as ready
+	HangServers    Action = "hang-servers"  // servers accept requests but answer none for Duration
+	SlowServers    Action = "slow-servers"  // servers take Factor times as long for Duration
+	FailServers    Action = "fail-servers"  // servers answer 500 for Duration
+	LoseServers    Action = "lose-servers"  // servers are disconnected for Duration, then start again
+	// For Duration, nodes and servers in Zone or Region reach only each other, and
+	// the nodes do not reach discovery.
+	Cut             Action = "cut"
+	KillNodes       Action = "kill-nodes"       // nodes are killed and start again after Fleet.RestartTime
+	RestartNodes    Action = "restart-nodes"    // nodes shut down gracefully and start again after Fleet.RestartTime
+	ChangeLists     Action = "change-lists"     // Count changes of listed weights, spread over Spread
+	DiscoveryDown   Action = "discovery-down"   // discovery refuses calls for Duration
+	DiscoverySilent Action = "discovery-silent" // discovery accepts calls but answers none for Duration
+	WatchesBreak    Action = "watches-break"    // discovery resets all open watches
+	Burst           Action = "burst"            // the traffic rate is multiplied by Factor for Duration
 )
 
 // Actions lists all actions.
@@ -56,8 +62,8 @@
 // actionRule says what an action affects, and which fields of the event it
 // requires besides At.
 type actionRule struct {
-	servers     bool // affects single servers
-	nodes       bool // affects single nodes
+	servers     bool // each step affects one server
+	nodes       bool // each step affects one node
 	hasDuration bool
 	hasFactor   bool
 	hasLocation bool // Zone or Region
@@ -88,11 +94,11 @@
 type Step struct {
 	At    time.Duration // since the start of the traffic
 	Until time.Duration // when it ends by itself, 0 if it does not
-	Index int           // of the server or node; -1: it affects no single one
+	Index int           // of the affected server or node; -1: the step affects no single one
 }
 
-// Steps returns the steps of event i, sorted by time. The servers or nodes that
-// it affects are drawn from the seed.
+// Steps returns the steps of event i, sorted by time. The scenario's seed
+// determines which servers or nodes it affects.
 func (s *Scenario) Steps(i int) []Step {
 	e := s.Events[i]
 	rule := actionRules[e.Action]
@@ -119,8 +125,8 @@
 	return steps
 }
 
-// stepCount is how many steps the event has, given the number of servers or
-// nodes in its place.
+// stepCount returns the number of steps of the event. candidates is the number
+// of servers or nodes in its zone or region.
 func (e Event) stepCount(candidates int) int {
 	n := candidates
 	switch {
@@ -135,14 +141,15 @@
 	return min(n, candidates)
 }
 
-// candidates are the servers or nodes in an event's place.
+// candidates returns the indexes of the servers or nodes in an event's zone or
+// region.
 func (s *Scenario) candidates(e Event) []int {
 	count := s.Servers.Count
 	if actionRules[e.Action].nodes {
 		count = s.Fleet.Nodes
 	}
 	var indexes []int
-	for i := range count { // node i and server i are in the same zone
+	for i := range count { // node i and server i are both in zone i modulo the number of zones
 		if e.Includes(s.Zones[i%len(s.Zones)]) {
 			indexes = append(indexes, i)
 		}
@@ -150,12 +157,14 @@
 	return indexes
 }
 
-// Includes reports whether the event's place contains a zone.
+// Includes reports whether the event affects a zone: its Zone and Region, if
+// set, match.
 func (e Event) Includes(z Zone) bool {
 	return (e.Zone == "" || z.Name == e.Zone) && (e.Region == "" || z.Region == e.Region)
 }
 
-// LastEventEnd is when the last event has ended, 0 if there are none.
+// LastEventEnd returns the time, since the start of the traffic, at which all
+// events have ended, or 0 if there are none.
 func (s *Scenario) LastEventEnd() time.Duration {
 	var end time.Duration
 	for _, e := range s.Events {
@@ -171,9 +180,9 @@
 	return end
 }
 
-// Describe says in one line when the event happened and how many servers or
-// nodes it affected, for results. withLast adds the time of the last step where
-// the steps are spread.
+// Describe returns a line for results: when the event begins, its action, the
+// number of steps if each affects one server or node, and its duration. withLast
+// adds the time of the last step if the steps are spread.
 func (e Event) Describe(steps []Step, withLast bool) string {
 	line := fmt.Sprintf("%v %s", e.At, e.Action)
 	if steps[0].Index != noIndex {
--- a/internal/lab/scenario/keylines.go
+++ b/internal/lab/scenario/keylines.go
@@ -8,15 +8,17 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyLines maps the keys of a file, written as in class[0].aim, to their lines.
+// keyLines maps the paths of the keys in a file, such as class[0].aim, to their
+// lines.
 type keyLines struct {
-	lineOf   map[string]int // of tables and keys, by path
-	pathOf   map[int]string // of the key whose value is on a line
-	hasError map[int]bool   // lines with a fault
-	unparsed []byte         // of the file from a syntax error on
+	lineOf   map[string]int // line of a table or key, by path
+	pathOf   map[int]string // path of the key on a line
+	hasError map[int]bool   // lines whose value has the wrong type
+	unparsed []byte         // the file from its syntax error on; nil: none or unknown
 }
 
-// line finds a key or, where it is missing, the table that it belongs to.
+// line returns the line of a key or, if the file does not contain it, of the
+// innermost table around it that the file contains; 1 if there is none.
 func (k *keyLines) line(path string) int {
 	for path != "" {
 		if line := k.lineOf[path]; line > 0 {
@@ -27,7 +29,8 @@
 	return 1
 }
 
-// findKeys parses a file for its keys. With a syntax error the result has rest.
+// findKeys parses a file and records its keys. After a syntax error, it returns
+// the keys before the error, with unparsed set if the position is known.
 func findKeys(raw []byte) (*keyLines, error) {
 	finder := keyFinder{
 		keys:   &keyLines{lineOf: map[string]int{}, pathOf: map[int]string{}, hasError: map[int]bool{}},
@@ -45,12 +48,12 @@
 	return finder.keys, err
 }
 
-// keyFinder is the state of findKeys.
+// keyFinder is the parser state of findKeys.
 type keyFinder struct {
 	keys   *keyLines
 	parser unstable.Parser
-	counts map[string]int // tables of each array so far, by path
-	table  string         // path of the present table
+	counts map[string]int // number of tables so far in an array of tables, by path
+	table  string         // path of the current table
 }
 
 // add records the key or table of an expression.
@@ -74,8 +77,8 @@
 	}
 }
 
-// path is the path of an expression's key, and its line. Within an array of
-// tables the last one is meant.
+// path returns the path of an expression's key and its line. A key through an
+// array of tables refers to the last table of the array so far.
 func (f *keyFinder) path(e *unstable.Node) (path string, line int) {
 	if e.Kind == unstable.KeyValue {
 		path = f.table
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -15,8 +15,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Load reads the scenario at path. An error joins one line for each fault:
-// file, line, key, and the value that is wanted.
+// Load reads the scenario at path. An error about the content has one line for
+// each invalid key: the file, the line, the key, and what is wanted instead.
 func Load(path string) (*Scenario, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -32,11 +32,12 @@
 	return s, nil
 }
 
-// Parse reads a scenario; errors name it as file. See [Load].
+// Parse reads a scenario from raw. Errors use file as its name; see [Load] for
+// their form.
 func Parse(file string, raw []byte) (*Scenario, error) {
 	keys, err := findKeys(raw)
 	if err != nil {
-		return nil, fmt.Errorf("%s:%d: not TOML: %w", file, keys.syntaxErrorLine(raw, err), err)
+		return nil, fmt.Errorf("%s:%d: invalid TOML: %w", file, keys.syntaxErrorLine(raw, err), err)
 	}
 	errs := errorList{file: file}
 	s := decode(raw, keys, &errs)
@@ -52,13 +53,13 @@
 	return &s, nil
 }
 
-// lineError is one error of a file.
+// lineError is an error at a line of a file.
 type lineError struct {
 	line int
 	err  error
 }
 
-// errorList collects the faults of a file.
+// errorList collects the errors of a file.
 type errorList struct {
 	file string
 	errs []lineError
@@ -69,21 +70,22 @@
 	l.errs = append(l.errs, lineError{line, err})
 }
 
-// err joins the faults in the order of their lines; nil if there are none.
+// err joins the errors in the order of their lines. It returns nil if there are
+// none.
 func (l *errorList) err() error {
 	slices.SortFunc(l.errs, func(a, b lineError) int {
 		return cmp.Or(cmp.Compare(a.line, b.line), cmp.Compare(a.err.Error(), b.err.Error()))
 	})
 	errs := make([]error, len(l.errs))
-	for i, f := range l.errs {
-		errs[i] = f.err
+	for i, e := range l.errs {
+		errs[i] = e.err
 	}
 	return errors.Join(errs...)
 }
 
-// decode reads a scenario on top of the defaults. The TOML library stops at the
-// first value of a wrong type, so the line of each is blanked and the rest is
-// read again.
+// decode decodes a scenario on top of the defaults. The TOML library stops at the
+// first value of a wrong type, so decode blanks the line of such a value and
+// decodes the file again to find further errors.
 func decode(raw []byte, keys *keyLines, errs *errorList) Scenario {
 	lines := bytes.SplitAfter(raw, []byte("\n"))
 	for {
@@ -93,7 +95,7 @@
 		if errors.As(err, &unknown) {
 			for _, e := range unknown.Errors {
 				line, _ := e.Position()
-				errs.add(line, strings.Join(e.Key(), "."), "is unknown, want one of the keys of package scenario")
+				errs.add(line, strings.Join(e.Key(), "."), "is unknown, want a key that package scenario defines")
 			}
 			return s
 		}
@@ -110,12 +112,13 @@
 		keys.hasError[line] = true
 		lines[line-1] = []byte("\n")
 		if toml.Unmarshal(bytes.Join(lines, nil), new(map[string]any)) != nil {
-			return s // the value continues on the next line
+			return s // a value over several lines cannot be blanked this way
 		}
 	}
 }
 
-// expectedValue says what the value of a key must be, "" if t has no such key.
+// expectedValue describes the values that a key of t accepts. It returns "" if t
+// has no such key.
 func expectedValue(t reflect.Type, path string) string {
 	t = typeOf(t, path)
 	if t == nil {
@@ -137,15 +140,15 @@
 	case reflect.Bool:
 		return "want true or false"
 	case reflect.String:
-		return "want a text in quotes"
+		return "want a string in quotes"
 	case reflect.Slice:
-		return "want tables, as in [[" + path + "]]"
+		return "want an array of tables, as in [[" + path + "]]"
 	}
 	return "want a table, as in [" + path + "]"
 }
 
-// typeOf finds the type of a key such as class[0].aim, nil if there is no such
-// key.
+// typeOf returns the type of a key of t such as class[0].aim, or nil if there is
+// no such key.
 func typeOf(t reflect.Type, path string) reflect.Type {
 	for name := range strings.SplitSeq(path, ".") {
 		name, _, _ = strings.Cut(name, "[")
@@ -167,7 +170,8 @@
 	return t
 }
 
-// syntaxErrorLine is the line of a syntax error, 0 if it is unknown.
+// syntaxErrorLine returns the line of a syntax error: the last line if its
+// position is unknown, 0 if err is not a syntax error.
 func (k *keyLines) syntaxErrorLine(raw []byte, err error) int {
 	var syntax *unstable.ParserError
 	if !errors.As(err, &syntax) {
--- a/internal/lab/scenario/nodeconfig.go
+++ b/internal/lab/scenario/nodeconfig.go
@@ -7,23 +7,26 @@
 	"time"
 )
 
-// Values of the settings that scenarios do not vary, from the wire's page.
+// Values of settings that scenarios do not vary, from the documentation of the
+// wire protocol.
 const (
 	minEventInterval = 5 * time.Millisecond
-	responseSlack    = 20 * time.Millisecond   // past the deadline
-	maxRetryAfter    = 1500 * time.Millisecond // that clients follow
-	overQuotaWeight  = 0.1
+	responseSlack    = 20 * time.Millisecond   // for which a final response still counts after the deadline
+	maxRetryAfter    = 1500 * time.Millisecond // longest Retry-After that clients follow
+	overQuotaWeight  = 0.1                     // fraction of its weight that a request over quota has
 )
 
-// NodeStart is what a node's configuration contains besides the scenario.
+// NodeStart holds the parts of a node's configuration that do not come from the
+// scenario.
 type NodeStart struct {
-	Incarnation int             // how often the node has started before
+	Incarnation int             // number of earlier starts of the node
 	Listen      string          // address for clients
 	Discovery   string          // address of discovery
-	KnownList   json.RawMessage // the list as the node last had it, in discovery's form; nil: empty
+	KnownList   json.RawMessage // the endpoint list as the node last had it, encoded as by discovery; nil: empty list
 }
 
-// The settings as the wire's page writes them. Times are in nanoseconds.
+// A node's configuration file, as the wire protocol defines it. Durations are in
+// nanoseconds.
 type (
 	nodeConfig struct {
 		Name      string          `json:"name"`
@@ -118,15 +121,15 @@
 	}
 )
 
-// idempotencySettings translates the scenario's words to the settings'.
+// idempotencySettings maps values of Idempotency to those in a node's settings.
 var idempotencySettings = map[Idempotency]string{
 	Idempotent:      "retryable",
 	IdempotentByKey: "dedup",
 	NotIdempotent:   "fragile",
 }
 
-// NodeConfig is the configuration file of node i: what a node's deployment
-// gives it, as JSON.
+// NodeConfig returns the JSON configuration file that node i gets at a start. The
+// node's seed depends on the scenario's seed, i and start.Incarnation.
 func (s *Scenario) NodeConfig(i int, start NodeStart) ([]byte, error) {
 	known := start.KnownList
 	if known == nil {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,17 +1,18 @@
 // Package scenario describes a run of the lab: a fleet of nodes, the servers
-// behind them, their discovery, the traffic and what goes wrong. The same file
-// serves runs with real processes and runs with hollow nodes.
+// behind them, their discovery, the traffic and the events, such as faults. The
+// same file serves runs with real processes and runs with hollow nodes.
 //
-// [Load] reads a file strictly and fills in defaults for what it leaves out.
-// [Scenario.Node], [Scenario.Server] and [Scenario.Steps] say where each node
-// and server is and which of them an event affects when, alike for both kinds
-// of run. [Scenario.NodeConfig] writes the configuration of a node.
+// [Load] rejects unknown keys and invalid values, and sets defaults for keys that
+// a file leaves out. [Scenario.Node], [Scenario.Server] and [Scenario.Steps] give
+// the zone of each node and server, and which of them an event affects when, the
+// same for both kinds of run. [Scenario.NodeConfig] returns the configuration of
+// a node.
 package scenario
 
-// Scenario is one file.
+// Scenario is the content of a scenario file.
 type Scenario struct {
-	Name      string    `toml:"name"`   // default: that of the file
-	About     string    `toml:"about"`  // what the run shows
+	Name      string    `toml:"name"`   // default: the file's name without .toml
+	About     string    `toml:"about"`  // description of what the run shows
 	Seed      uint64    `toml:"seed"`   // of all random draws
 	Length    Duration  `toml:"length"` // of the traffic, warm-up included
 	Warmup    Duration  `toml:"warm"`   // at the start of the traffic, left out of the results
@@ -23,32 +24,34 @@
 	Zones     []Zone    `toml:"zone"`  // default: one
 	Classes   []Class   `toml:"class"` // at least one
 	Events    []Event   `toml:"event"` // may overlap
-	Bounds    Bounds    `toml:"holds"` // what must hold at the end
+	Bounds    Bounds    `toml:"holds"` // checked at the end of the run
 }
 
-// Zone is a place where servers and nodes fail together.
+// Zone is a failure domain of servers and nodes.
 type Zone struct {
 	Name   string `toml:"name"`
-	Region string `toml:"region"` // zones of one region are near each other
+	Region string `toml:"region"` // zones of one region are near each other; default: Name
 }
 
-// Fleet describes the nodes, which are spread over the zones in turn.
+// Fleet describes the nodes, which are assigned to the zones round-robin. Limits
+// are per node.
 type Fleet struct {
 	Nodes             int      `toml:"nodes"`
 	Cores             float64  `toml:"cores"` // that a node may use
 	MemoryMB          int      `toml:"memory_mb"`
 	Sockets           int      `toml:"sockets"`
-	MaxOpenRequests   int      `toml:"max_open"`     // of a node
-	MaxAttempts       int      `toml:"max_attempts"` // for one request
+	MaxOpenRequests   int      `toml:"max_open"`     // requests open at once
+	MaxAttempts       int      `toml:"max_attempts"` // per request
 	CancelAllowed     bool     `toml:"may_cancel"`
 	HedgingAllowed    bool     `toml:"may_overlap"`
 	RetryAfterAllowed bool     `toml:"retry_after"`  // rejections may carry Retry-After
-	StartSpread       Duration `toml:"start_spread"` // nodes start evenly over it, before the traffic
-	RestartTime       Duration `toml:"restart"`      // for which a restarted node is away
+	StartSpread       Duration `toml:"start_spread"` // time before the traffic over which node starts are spread evenly
+	RestartTime       Duration `toml:"restart"`      // from the end of a node to its next start
 }
 
-// Network is the network between nodes and servers. Times are one way; an
-// exponential part with mean Jitter is added to them.
+// Network describes the network between nodes and servers. SameZone, SameRegion
+// and CrossRegion are one-way delays; an exponentially distributed delay with mean
+// Jitter is added to them.
 type Network struct {
 	SameZone       Duration `toml:"same_zone"`
 	SameRegion     Duration `toml:"same_region"`
@@ -56,61 +59,61 @@
 	Jitter         Duration `toml:"jitter"`
 	ConnectTimeout Duration `toml:"connect_timeout"`
 	LateDials      float64  `toml:"late_dials"` // fraction of new connections that are established late
-	LateBy         Duration `toml:"late_by"`    // at most
+	LateBy         Duration `toml:"late_by"`    // maximum; the extra delay is uniformly distributed
 }
 
-// Servers describes the backends. They are spread over the zones in turn, and
-// the machine types over each zone.
+// Servers describes the backends. They are assigned to the zones round-robin, and
+// the machine types are spread over the servers of each zone.
 type Servers struct {
 	Count           int           `toml:"count"`
-	Services        int           `toml:"services"` // over which they are spread; present nodes know one
-	CellSize        int           `toml:"cell_size"`
+	Services        int           `toml:"services"`     // that servers are spread over; unused: nodes support only one
+	CellSize        int           `toml:"cell_size"`    // servers per cell
 	MachineTypes    []MachineType `toml:"kind"`         // default: one
-	QueueLimit      int           `toml:"queue"`        // requests that may wait at one
-	MaxConnections  int           `toml:"connections"`  // of one
-	Handshake       Duration      `toml:"handshake"`    // work of a new connection
-	IdleTimeout     Duration      `toml:"idle_close"`   // of connections
-	InitialCapacity float64       `toml:"cold_from"`    // fraction of the capacity at the start
-	WarmupTime      Duration      `toml:"cold_time"`    // until the capacity is complete
-	CrashFactor     float64       `toml:"fall_factor"`  // a server that warms up crashes under more load than this multiple
-	CrashWindow     Duration      `toml:"fall_time"`    // of its capacity for this long,
-	CrashDowntime   Duration      `toml:"fall_rest"`    // and stays down for this long
-	Deduplicate     bool          `toml:"dedup"`        // idempotency keys are remembered within their scope
+	QueueLimit      int           `toml:"queue"`        // requests that may wait at a server
+	MaxConnections  int           `toml:"connections"`  // open at once to a server
+	Handshake       Duration      `toml:"handshake"`    // work of a new connection, on a core of speed 1
+	IdleTimeout     Duration      `toml:"idle_close"`   // after which a server closes an idle connection
+	InitialCapacity float64       `toml:"cold_from"`    // fraction of its capacity with which a server starts
+	WarmupTime      Duration      `toml:"cold_time"`    // from the start to full capacity
+	CrashFactor     float64       `toml:"fall_factor"`  // multiple of its capacity over which a warming server crashes
+	CrashWindow     Duration      `toml:"fall_time"`    // time over which the load for CrashFactor is measured
+	CrashDowntime   Duration      `toml:"fall_rest"`    // from a crash to the next start
+	Deduplicate     bool          `toml:"dedup"`        // servers remember idempotency keys within the class's KeyScope
 	FailureRate     float64       `toml:"failing_part"` // fraction of all responses that are 500
 }
 
-// MachineType is a type of server machine.
+// MachineType is a type of machine that servers run on.
 type MachineType struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"part"` // of the servers, relative to the other types' shares
 	Cores int     `toml:"cores"`
-	Speed float64 `toml:"speed"` // of a core; work is measured on a core of speed 1
+	Speed float64 `toml:"speed"` // of a core; Work and Handshake are times on a core of speed 1
 }
 
-// Discovery describes the emulated discovery.
+// Discovery describes the emulated discovery service.
 type Discovery struct {
 	OnDemand     bool     `toml:"asked"`       // nodes request the list; else it is pushed to an agent beside each node
-	Delay        Duration `toml:"delay"`       // from a change to the agents, or to the service
-	DelaySpread  Duration `toml:"spread"`      // additional, drawn for each node
-	ResponseTime Duration `toml:"answer"`      // work of a response
-	DrainGrace   Duration `toml:"drain_grace"` // after which no request goes to a server listed as draining or removed
-	PollInterval Duration `toml:"ask_within"`  // on demand: age at which a change counts as notified without a watch
+	Delay        Duration `toml:"delay"`       // from a change until the agents have it or, on demand, the service
+	DelaySpread  Duration `toml:"spread"`      // maximum additional delay to an agent, drawn for each node
+	ResponseTime Duration `toml:"answer"`      // on demand: time that the service takes for a response
+	DrainGrace   Duration `toml:"drain_grace"` // after which no request may go to a server listed as draining or gone
+	PollInterval Duration `toml:"ask_within"`  // on demand: without a watch, nodes must poll at least this often
 }
 
-// Traffic describes what clients send. Arrivals are drawn ahead and wait for
-// nothing.
+// Traffic describes what clients send. It is open-loop: the arrival times are
+// drawn ahead and do not depend on responses.
 type Traffic struct {
-	Rate          float64  `toml:"rate"`         // requests a second, whole fleet
-	Imbalance     float64  `toml:"uneven"`       // standard deviation of the logarithm of a node's share; 0: all nodes alike
-	Keys          int      `toml:"keys"`         // subjects of requests
-	KeySkew       float64  `toml:"key_skew"`     // exponent of their Zipf distribution; over 1, or 0: uniform
-	Tenants       int      `toml:"tenants"`      // 0: none
-	TenantSkew    float64  `toml:"tenant_skew"`  // as KeySkew
-	Quota         float64  `toml:"quota"`        // of a tenant, requests a second over all nodes
-	Retries       int      `toml:"retries"`      // additional tries of a client, where they do no harm
-	Backoff       Duration `toml:"backoff"`      // mean wait before such a try without Retry-After
-	FailoverDelay Duration `toml:"front_notice"` // after which clients of a dead node are sent to others of its zone
-	Connections   int      `toml:"connections"`  // of clients to a real node
+	Rate          float64  `toml:"rate"`         // requests per second to the whole fleet
+	Imbalance     float64  `toml:"uneven"`       // standard deviation of the log of a node's share; 0: equal shares
+	Keys          int      `toml:"keys"`         // number of subjects of requests; not idempotency keys
+	KeySkew       float64  `toml:"key_skew"`     // exponent of the subjects' Zipf distribution, over 1; 0: uniform
+	Tenants       int      `toml:"tenants"`      // number of tenants; 0: requests have no tenant
+	TenantSkew    float64  `toml:"tenant_skew"`  // as KeySkew, for tenants
+	Quota         float64  `toml:"quota"`        // of each tenant, in requests per second over all nodes
+	Retries       int      `toml:"retries"`      // maximum additional tries, where another execution does no harm
+	Backoff       Duration `toml:"backoff"`      // mean wait before an additional try without Retry-After
+	FailoverDelay Duration `toml:"front_notice"` // time until first tries of a killed node's clients go elsewhere
+	Connections   int      `toml:"connections"`  // of clients to a node, with real processes only
 }
 
 // Idempotency says what a second execution of a request does.
@@ -119,45 +122,48 @@
 // Values of Idempotency.
 const (
 	Idempotent      Idempotency = "safe"   // no harm
-	IdempotentByKey Idempotency = "keyed"  // no harm where its key is remembered
+	IdempotentByKey Idempotency = "keyed"  // no harm at servers that remember its key
 	NotIdempotent   Idempotency = "unsafe" // harm
 )
 
-// Values of Class.KeyScope: the servers that share the keys they remember.
+// Values of Class.KeyScope: the set of servers that share remembered idempotency
+// keys.
 const (
 	ScopeAll  = "all"
 	ScopeZone = "zone"
 	ScopeCell = "cell"
 )
 
-// Class is a class of requests.
+// Class describes one class of requests.
 type Class struct {
 	Name             string      `toml:"name"`
 	Share            float64     `toml:"part"` // of the requests, relative to the other classes' shares
 	Idempotency      Idempotency `toml:"effect"`
 	KeyScope         string      `toml:"scope"`    // with IdempotentByKey
-	KeyWindow        Duration    `toml:"window"`   // for which keys are remembered; with IdempotentByKey
-	Work             Duration    `toml:"work"`     // mean, on a core of speed 1
+	KeyWindow        Duration    `toml:"window"`   // time for which keys are remembered; with IdempotentByKey
+	Work             Duration    `toml:"work"`     // mean execution time on a core of speed 1
 	WorkVariation    float64     `toml:"work_var"` // coefficient of variation: 0 constant, 1 exponential, else gamma
 	PriorityWeight   float64     `toml:"worth"`
-	LateWeight       float64     `toml:"late_worth"` // fraction of the weight that remains after the objective
+	LateWeight       float64     `toml:"late_worth"` // fraction of the weight that a response after the objective has
 	LatencyObjective Duration    `toml:"aim"`
-	Deadline         Duration    `toml:"deadline"` // over all tries
+	Deadline         Duration    `toml:"deadline"` // of the client's request, over all tries
 }
 
-// RepeatableAnywhere reports whether a request of the class may be executed
-// again at any server, within its key's window.
+// RepeatableAnywhere reports whether any server may execute a request of the class
+// again without harm; with IdempotentByKey, only within KeyWindow.
 func (c *Class) RepeatableAnywhere() bool {
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll
 }
 
-// Bounds are what a run must keep; 0: no bound.
+// Bounds are limits that the results of a run must keep; 0: no bound. A run has
+// recovered once it serves nine tenths of the fraction of the weight that it served
+// before the first event.
 type Bounds struct {
-	Served        float64  `toml:"served"`           // least fraction of the weight that is served
-	Attempts      float64  `toml:"attempts"`         // most attempts a request
-	P99           Duration `toml:"p99"`              // of the latency of served requests
-	ListRate      float64  `toml:"list_bytes"`       // list traffic in bytes/s, mean node
-	WorstListRate float64  `toml:"worst_list_bytes"` // list traffic in bytes/s, worst node
-	Recovery      Duration `toml:"recovery"`         // from the last event's end to nine tenths of the weight served before
-	Crashes       *int     `toml:"falls"`            // of servers that warm up
+	Served        float64  `toml:"served"`           // minimum fraction of the weight that is served
+	Attempts      float64  `toml:"attempts"`         // maximum mean number of attempts per request
+	P99           Duration `toml:"p99"`              // maximum 99th percentile of the latency of served requests
+	ListRate      float64  `toml:"list_bytes"`       // maximum list traffic in bytes/s, mean of the nodes
+	WorstListRate float64  `toml:"worst_list_bytes"` // maximum list traffic in bytes/s of any node
+	Recovery      Duration `toml:"recovery"`         // maximum time to recover after the last event
+	Crashes       *int     `toml:"falls"`            // maximum number of crashes of servers that warm up; nil: no bound
 }
--- a/internal/lab/scenario/topology.go
+++ b/internal/lab/scenario/topology.go
@@ -12,7 +12,7 @@
 	Zone string
 }
 
-// Node describes node i. Nodes are spread over the zones in turn.
+// Node describes node i. Nodes are assigned to the zones round-robin.
 func (s *Scenario) Node(i int) Node {
 	return Node{Name: fmt.Sprintf("n%d", i), Zone: s.Zones[i%len(s.Zones)].Name}
 }
@@ -25,11 +25,13 @@
 	Cell        int
 }
 
-// nameSeedFactor is odd, so that different seeds give different names.
+// nameSeedFactor is odd and thus invertible modulo 2^32, so that different seeds
+// give a server different names.
 const nameSeedFactor = 0x9e3779b9
 
-// Server describes server i. Those from Servers.Count on are successors: that
-// of server i is server i+Servers.Count, in the same place under a new name.
+// Server describes server i. Servers i+Servers.Count, i+2*Servers.Count and so on
+// are successors of server i, with new names but the same zone, cell and machine
+// type.
 func (s *Scenario) Server(i int) Server {
 	place := i % s.Servers.Count
 	zone := place % len(s.Zones)
@@ -42,12 +44,12 @@
 	}
 }
 
-// goldenRatio is its fractional part; its multiples fill the unit interval
-// evenly.
+// goldenRatio is the fractional part of the golden ratio. The fractional parts of
+// its multiples fill the unit interval evenly.
 const goldenRatio = 0.6180339887498949
 
-// machineTypeOf spreads the machine types over the servers of a zone by their
-// shares.
+// machineTypeOf returns the machine type of a server, given its position among the
+// servers of its zone. The types are spread evenly, in proportion to their shares.
 func (s *Scenario) machineTypeOf(row int) MachineType {
 	types := s.Servers.MachineTypes
 	total := 0.0
@@ -64,15 +66,15 @@
 	return types[len(types)-1]
 }
 
-// scramble is one to one (the finaliser of MurmurHash3), so that names are
-// unique.
+// scramble is the finalizer of MurmurHash3. It maps different values to different
+// values, so that server names are unique.
 func scramble(x uint32) uint32 {
 	x = (x ^ x>>16) * 0x85ebca6b
 	x = (x ^ x>>13) * 0xc2b2ae35
 	return x ^ x>>16
 }
 
-// Region is the region of a zone, "" if there is no such zone.
+// Region returns the region of a zone, or "" if there is no such zone.
 func (s *Scenario) Region(zone string) string {
 	for _, z := range s.Zones {
 		if z.Name == zone {
@@ -82,7 +84,7 @@
 	return ""
 }
 
-// Delay is the network's time one way between two zones, without jitter.
+// Delay returns the one-way network delay between two zones, without jitter.
 func (s *Scenario) Delay(from, to string) time.Duration {
 	switch {
 	case from == to:
@@ -93,8 +95,8 @@
 	return s.Network.CrossRegion.Std()
 }
 
-// MeanWork is the mean work of a request over all classes, on a core of speed
-// 1.
+// MeanWork returns the mean execution time of a request over all classes, on a
+// core of speed 1.
 func (s *Scenario) MeanWork() time.Duration {
 	work := 0.0
 	shares := 0.0
@@ -105,7 +107,7 @@
 	return time.Duration(work / shares * float64(time.Second))
 }
 
-// MaxDeadline is the longest deadline of all classes.
+// MaxDeadline returns the longest deadline of all classes.
 func (s *Scenario) MaxDeadline() time.Duration {
 	longest := Duration(0)
 	for _, c := range s.Classes {
@@ -114,5 +116,5 @@
 	return longest.Std()
 }
 
-// TenantName is the name of tenant i.
+// TenantName returns the name of tenant i.
 func TenantName(i int) string { return fmt.Sprintf("t%05d", i) }
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// minSockets is the least number of sockets with which a node starts.
+// minSockets is the minimum number of sockets with which a node can serve.
 const minSockets = 64
 
-// validator finds values of a scenario that cannot be. It reports each fault
-// under its key in the file, such as class[0].aim.
+// validator checks the values of a scenario. It reports each invalid value with
+// its key in the file, such as class[0].aim.
 type validator struct {
 	scenario *Scenario
 	report   func(key, format string, args ...any)
-	zones    map[string]bool
-	regions  map[string]bool
+	zones    map[string]bool // names of the zones
+	regions  map[string]bool // names of the regions
 }
 
-// validate reports the faults of a scenario.
+// validate calls report for each invalid value of a scenario.
 func (s *Scenario) validate(report func(key, format string, args ...any)) {
 	v := &validator{scenario: s, report: report, zones: map[string]bool{}, regions: map[string]bool{}}
 	v.timingAndNetwork()
@@ -100,7 +100,7 @@
 
 func (v *validator) classes() {
 	if len(v.scenario.Classes) == 0 {
-		v.report("class", "is missing, want at least one")
+		v.report("class", "is missing, want at least one class")
 	}
 	names := map[string]bool{}
 	for i, c := range v.scenario.Classes {
@@ -114,7 +114,7 @@
 		v.fraction(prefix+"late_worth", c.LateWeight)
 		v.positive(prefix+"aim", c.LatencyObjective.Seconds())
 		if c.Deadline < c.LatencyObjective {
-			v.report(prefix+"deadline", "is %v, want the aim, %v, or more", c.Deadline, c.LatencyObjective)
+			v.report(prefix+"deadline", "is %v, want at least aim, %v", c.Deadline, c.LatencyObjective)
 		}
 	}
 }
@@ -127,7 +127,7 @@
 	}
 	if c.Idempotency != IdempotentByKey {
 		if c.KeyScope != "" || c.KeyWindow != 0 {
-			v.report(prefix+"effect", "is %q, want keyed with scope or window", c.Idempotency)
+			v.report(prefix+"effect", "is %q, want keyed where scope or window is set", c.Idempotency)
 		}
 		return
 	}
@@ -145,7 +145,7 @@
 		return
 	}
 	if e.At >= v.scenario.Length {
-		v.report(prefix+"at", "is %v, want before the end, %v", e.At, v.scenario.Length)
+		v.report(prefix+"at", "is %v, want less than length, %v", e.At, v.scenario.Length)
 	}
 	switch {
 	case rule.hasDuration && e.Duration == 0:
@@ -168,29 +168,29 @@
 		v.report(prefix+"zone", "is missing, want a zone or a region for %s", e.Action)
 	}
 	if e.Zone != "" && e.Region != "" {
-		v.report(prefix+"region", "is %q beside zone %q, want one of the two", e.Region, e.Zone)
+		v.report(prefix+"region", "is %q together with zone %q, want only one of the two", e.Region, e.Zone)
 	}
 	if e.Zone != "" && !v.zones[e.Zone] {
 		v.report(prefix+"zone", "is %q, want the name of a zone", e.Zone)
 	}
 	if e.Region != "" && !v.regions[e.Region] {
-		v.report(prefix+"region", "is %q, want a region of a zone", e.Region)
+		v.report(prefix+"region", "is %q, want the region of a zone", e.Region)
 	}
 }
 
 func (v *validator) eventTargets(prefix string, e Event, rule actionRule) {
 	hasTargets := rule.servers || rule.nodes
 	if !(e.Fraction >= 0 && e.Fraction <= 1) || e.Fraction > 0 && !hasTargets {
-		v.report(prefix+"part", "is %v, want a part from 0 to 1 of servers or nodes", e.Fraction)
+		v.report(prefix+"part", "is %v, want a fraction from 0 to 1, and only for actions on servers or nodes", e.Fraction)
 	}
 	if e.Count < 0 || e.Count > 0 && (!hasTargets || e.Fraction > 0) {
-		v.report(prefix+"count", "is %d, want a number of servers or nodes, instead of part", e.Count)
+		v.report(prefix+"count", "is %d, want 0 or more, only for actions on servers or nodes, and only without part", e.Count)
 	}
 	if e.Action == ChangeLists && e.Count == 0 {
-		v.report(prefix+"count", "is 0, want the number of changes")
+		v.report(prefix+"count", "is 0, want the number of list changes")
 	}
 	if hasTargets && len(v.scenario.candidates(e)) == 0 {
-		v.report(prefix+"do", "strikes nothing there")
+		v.report(prefix+"do", "is %q, but its zone or region has no server or node to affect", e.Action)
 	}
 }
 
@@ -202,7 +202,7 @@
 	}
 }
 
-// The conditions below are negated so that NaN is a fault too.
+// The conditions below are negated so that they reject NaN too.
 
 func (v *validator) positive(key string, x float64) {
 	if !(x > 0) {
@@ -218,20 +218,20 @@
 
 func (v *validator) fraction(key string, x float64) {
 	if !(x >= 0 && x <= 1) {
-		v.report(key, "is %v, want a part from 0 to 1", x)
+		v.report(key, "is %v, want a fraction from 0 to 1", x)
 	}
 }
 
 func (v *validator) skew(key string, x float64) {
 	if x != 0 && !(x > 1) {
-		v.report(key, "is %v, want over 1, or 0 for all alike", x)
+		v.report(key, "is %v, want over 1, or 0 for a uniform distribution", x)
 	}
 }
 
-// uniqueName reports a name that is empty or already seen.
+// uniqueName reports a name that is empty or in seen, and adds it to seen.
 func (v *validator) uniqueName(key, name string, seen map[string]bool) {
 	if name == "" || seen[name] {
-		v.report(key, "is %q, want a name of its own", name)
+		v.report(key, "is %q, want a unique and non-empty name", name)
 	}
 	seen[name] = true
 }
