--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// minSockets is the minimum number of sockets with which a node can serve.
+// minSockets is the minimum number of sockets with which a node starts.
 const minSockets = 64
 
 // validator checks the values of a scenario. It reports each invalid value with
--- a/internal/lab/setup/tally.go
+++ b/internal/lab/setup/tally.go
@@ -8,7 +8,7 @@
 )
 
 // Tally holds the counters that a request is added to: those of the second in
-// which its first try was to be sent, and those of the whole run.
+// which its first try was to be sent, and the totals of the run after the warm-up.
 type Tally struct {
 	Window   *result.Window
 	Requests *result.Requests
@@ -65,8 +65,8 @@
 	t.Requests.Failed++
 }
 
-// CountLost counts a request whose client got no response. It is failed in the
-// counters of its second.
+// CountLost counts a request whose client got no response. It counts as
+// failed in its second.
 func (t Tally) CountLost() {
 	t.Window.Failed++
 	t.Requests.Lost++
