--- a/internal/lab/arrivals/arrivals.go
+++ b/internal/lab/arrivals/arrivals.go
@@ -1,5 +1,5 @@
-// Package arrivals draws the requests of a scenario's clients: an open-loop
-// stream, the same for a seed whatever becomes of the requests.
+// Package arrivals generates the requests of a scenario's clients: an open-loop
+// stream that depends on the scenario and its seed, not on the outcomes of requests.
 package arrivals
 
 import (
@@ -13,19 +13,19 @@
 	"bankshift/internal/lab/scenario"
 )
 
-// Arrival is a client's request.
+// Arrival is a request as a client sends it.
 type Arrival struct {
-	Number int           // counts from 0
-	At     time.Duration // since the start of the traffic: when it is to be sent
+	Number int           // of the request, from 0
+	At     time.Duration // intended time of sending, since the start of the traffic
 	Node   int           // that its client is connected to
-	Class  int
-	Key    int // its subject
-	Tenant int // -1: none
-	Work   time.Duration
+	Class  int           // index in Scenario.Classes
+	Key    int           // number of its subject
+	Tenant int           // -1: none
+	Work   time.Duration // execution time on a core of speed 1
 }
 
-// Streams of randomness, so that the draws of one distribution do not change
-// those of another.
+// Random streams, one for each distribution, so that the draws of one do not
+// change those of another.
 const (
 	streamWeights = 1<<32 + iota
 	streamTimes
@@ -36,24 +36,24 @@
 	streamWork
 )
 
-// All returns the requests of a scenario sorted by time. They arrive by a
-// Poisson process over the whole fleet; a burst multiplies its rate, and
-// overlapping bursts multiply each other. Nothing is kept, so the stream may be
-// of any length, and it may be drawn again.
+// All returns the requests of a scenario sorted by time. They arrive in a Poisson
+// process over the whole fleet. A burst multiplies its rate; the factors of
+// overlapping bursts multiply. Requests are generated on demand and not stored, so
+// the stream may be of any length. Each iteration yields the same requests.
 func All(s *scenario.Scenario) iter.Seq[Arrival] {
 	return func(yield func(Arrival) bool) {
-		d := newDrawer(s)
+		g := newGenerator(s)
 		for n := 0; ; n++ {
-			at := d.nextTime()
-			if at >= s.Length.Seconds() || !yield(d.arrival(n, at)) {
+			at := g.nextTime()
+			if at >= s.Length.Seconds() || !yield(g.arrival(n, at)) {
 				return
 			}
 		}
 	}
 }
 
-// drawer draws the attributes of arrivals.
-type drawer struct {
+// generator draws the times and attributes of arrivals.
+type generator struct {
 	scenario *scenario.Scenario
 	at       float64 // of the last arrival, in seconds
 	gaps     distuv.Exponential
@@ -64,9 +64,9 @@
 	work     []distuv.Rander // by class, in seconds
 }
 
-func newDrawer(s *scenario.Scenario) *drawer {
+func newGenerator(s *scenario.Scenario) *generator {
 	source := func(stream uint64) rand.Source { return rand.NewPCG(s.Seed, stream) }
-	d := &drawer{
+	g := &generator{
 		scenario: s,
 		gaps:     distuv.Exponential{Rate: 1, Src: source(streamTimes)},
 		nodes:    distuv.NewCategorical(NodeWeights(s), source(streamNodes)),
@@ -77,43 +77,45 @@
 	var shares []float64
 	for _, c := range s.Classes {
 		shares = append(shares, c.Share)
-		d.work = append(d.work, workDistribution(c, workSource))
+		g.work = append(g.work, workDistribution(c, workSource))
 	}
-	d.classes = distuv.NewCategorical(shares, source(streamClasses))
-	return d
+	g.classes = distuv.NewCategorical(shares, source(streamClasses))
+	return g
 }
 
-// nextTime draws the time of the next arrival, in seconds: a step of a process
-// of rate 1, spread over the intervals of constant rate.
-func (d *drawer) nextTime() float64 {
-	left := d.gaps.Rand()
+// nextTime draws the time of the next arrival, in seconds. It draws a gap of a
+// Poisson process of rate 1 and converts it to time piecewise, over the intervals
+// of constant rate.
+func (g *generator) nextTime() float64 {
+	left := g.gaps.Rand()
 	for {
-		rate, until := rateAt(d.scenario, d.at)
-		if end := d.at + left/rate; end < until {
-			d.at = end
-			return d.at
+		rate, until := rateAt(g.scenario, g.at)
+		if end := g.at + left/rate; end < until {
+			g.at = end
+			return g.at
 		}
-		left -= (until - d.at) * rate
-		d.at = until
+		left -= (until - g.at) * rate
+		g.at = until
 	}
 }
 
-// arrival draws the attributes of an arrival.
-func (d *drawer) arrival(number int, at float64) Arrival {
+// arrival returns the arrival with a number and a time in seconds, and draws its
+// other attributes.
+func (g *generator) arrival(number int, at float64) Arrival {
 	a := Arrival{
 		Number: number,
 		At:     time.Duration(at * float64(time.Second)),
-		Node:   int(d.nodes.Rand()),
-		Class:  int(d.classes.Rand()),
-		Key:    d.keys(),
-		Tenant: d.tenants(),
+		Node:   int(g.nodes.Rand()),
+		Class:  int(g.classes.Rand()),
+		Key:    g.keys(),
+		Tenant: g.tenants(),
 	}
-	a.Work = max(1, time.Duration(d.work[a.Class].Rand()*float64(time.Second)))
+	a.Work = max(1, time.Duration(g.work[a.Class].Rand()*float64(time.Second)))
 	return a
 }
 
-// NodeWeights is each node's weight in the traffic, with median 1: drawn from a
-// log-normal distribution where the scenario has an imbalance.
+// NodeWeights returns the relative share of each node in the traffic: 1, or with
+// an imbalance, a value drawn from a log-normal distribution with median 1.
 func NodeWeights(s *scenario.Scenario) []float64 {
 	weights := make([]float64, s.Fleet.Nodes)
 	distribution := distuv.LogNormal{Sigma: s.Traffic.Imbalance, Src: rand.NewPCG(s.Seed, streamWeights)}
@@ -126,7 +128,8 @@
 	return weights
 }
 
-// rateAt is the rate at a time, in seconds, and until when it holds.
+// rateAt returns the rate of requests per second at a time, and the time until
+// which it is constant. Both times are in seconds.
 func rateAt(s *scenario.Scenario, at float64) (rate, until float64) {
 	rate = s.Traffic.Rate
 	until = math.Inf(1)
@@ -147,7 +150,7 @@
 	return rate, until
 }
 
-// workDistribution is the distribution of a class's work, in seconds.
+// workDistribution returns the distribution of a class's work, in seconds.
 func workDistribution(c scenario.Class, src rand.Source) distuv.Rander {
 	mean := c.Work.Seconds()
 	switch c.WorkVariation {
@@ -160,14 +163,15 @@
 	return distuv.Gamma{Alpha: shape, Beta: shape / mean, Src: src}
 }
 
-// constant is a distribution of one value.
+// constant is a distribution with a single value.
 type constant float64
 
 // Rand returns the value.
 func (c constant) Rand() float64 { return float64(c) }
 
-// zipf draws one of n by Zipf's distribution, or uniformly with a skew of 0;
-// with n of 0 it draws -1.
+// zipf returns a function that draws a number from 0 to n-1 from a Zipf
+// distribution, or from the uniform distribution with a skew of 0. If n is 0, it
+// returns -1.
 func zipf(n int, skew float64, src rand.Source) func() int {
 	r := rand.New(src)
 	switch {
