--- a/internal/lab/hollow/attempt.go
+++ b/internal/lab/hollow/attempt.go
@@ -99,7 +99,7 @@
 	n.pool.markDialled(a.backend)
 	n.schedule(m.now+n.cfg.Settings.ConnectTimeout, a.connectFailed)
 	sv := a.backend.server
-	m.schedule(m.now+m.delay(n.zone, sv.zone), func() { a.connect(sv) })
+	m.schedule(m.now+m.delay(n.zone, sv.zone), func() { a.connectAtServer(sv) })
 }
 
 // connectFailed ends an attempt that has no connection.
@@ -109,8 +109,8 @@
 	}
 }
 
-// connect is the connection request at the server.
-func (a *attempt) connect(sv *server) {
+// connectAtServer is the connection request at the server.
+func (a *attempt) connectAtServer(sv *server) {
 	n := a.node
 	m := n.sim
 	if !a.notWritten() || !m.reachable(n.zone, sv.zone) {
@@ -189,7 +189,7 @@
 func (a *attempt) arrive(sv *server, c *conn) {
 	m := a.node.sim
 	if !m.reachable(a.node.zone, sv.zone) {
-		m.currentSecond().sendsToAbsent++
+		m.currentSecond().sendsToUnavailable++
 		return
 	}
 	a.arrivedAt = m.now
@@ -204,11 +204,11 @@
 	case model.Accepted:
 		sv.inFlight[work.ID] = a
 	case model.NoResponse:
-		m.currentSecond().sendsToAbsent++
+		m.currentSecond().sendsToUnavailable++
 	case model.Rejected:
 		m.deliverReply(a, outcome)
 	default:
-		m.currentSecond().sendsToAbsent++
+		m.currentSecond().sendsToUnavailable++
 		m.deliverReply(a, outcome)
 	}
 	m.wakeServer(sv)
--- a/internal/lab/hollow/client.go
+++ b/internal/lab/hollow/client.go
@@ -35,8 +35,8 @@
 	measured    bool // its first try is after the warm-up
 }
 
-// offer begins the request of an arrival.
-func (m *sim) offer(a arrivals.Arrival) {
+// startClient begins the request of an arrival.
+func (m *sim) startClient(a arrivals.Arrival) {
 	class := &m.classes[a.Class]
 	c := &client{
 		sim:      m,
--- a/internal/lab/hollow/faults.go
+++ b/internal/lab/hollow/faults.go
@@ -33,7 +33,7 @@
 	case scenario.RestartNodes:
 		m.schedule(begin, func() { m.nodes[step.Index].shutDown() })
 	case scenario.ChangeLists:
-		m.schedule(begin, func() { m.changeWeight(m.current[step.Index]) })
+		m.schedule(begin, func() { m.changeWeight(m.currentServers[step.Index]) })
 	case scenario.DiscoveryDown:
 		m.scheduleOutage(begin, end, m.registry.SetRefusing)
 	case scenario.DiscoverySilent:
@@ -49,12 +49,12 @@
 
 // serverFault returns what an event does to a server at its beginning and at
 // its end. begin is nil for other events, end for those that have none.
-func (m *sim) serverFault(e scenario.Event, place int) (begin, end func(*server)) {
+func (m *sim) serverFault(e scenario.Event, slot int) (begin, end func(*server)) {
 	switch e.Action {
 	case scenario.RestartServers:
 		return func(sv *server) { sv.model.Kill(m.now) }, m.startServer
 	case scenario.ReplaceServers:
-		return func(sv *server) { m.replaceServer(sv, place) }, nil
+		return func(sv *server) { m.replaceServer(sv, slot) }, nil
 	case scenario.DrainServers:
 		return func(sv *server) { m.setStatus(sv, model.Draining) }, m.endDraining
 	case scenario.HangServers:
@@ -67,16 +67,16 @@
 		return func(sv *server) { sv.model.SetFailureRate(m.now, 1) },
 			func(sv *server) { sv.model.SetFailureRate(m.now, -1) }
 	case scenario.LoseServers:
-		return m.loseServer, m.startServer
+		return m.disconnectServer, m.startServer
 	}
 	return nil, nil
 }
 
 // scheduleServerFault applies a fault to the server that is in a place when it
 // begins, and ends it for that server, not for a successor.
-func (m *sim) scheduleServerFault(place int, beginAt, endAt time.Duration, begin, end func(*server)) {
+func (m *sim) scheduleServerFault(slot int, beginAt, endAt time.Duration, begin, end func(*server)) {
 	m.schedule(beginAt, func() {
-		sv := m.current[place]
+		sv := m.currentServers[slot]
 		begin(sv)
 		m.wakeServer(sv)
 		if end == nil {
@@ -89,8 +89,8 @@
 	})
 }
 
-func (m *sim) loseServer(sv *server) {
-	sv.vanishedAt = m.now
+func (m *sim) disconnectServer(sv *server) {
+	sv.disconnectedAt = m.now
 	sv.model.Disconnect(m.now)
 }
 
--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	r := m.result()
-	r.Cost.NodeMemory = (heapWithNodes - m.heapBefore) / int64(s.Fleet.Nodes)
+	r.Cost.NodeMemory = (heapWithNodes - m.heapWithoutNodes) / int64(s.Fleet.Nodes)
 	r.Cost.Seconds = time.Since(began).Seconds()
 	return r, nil
 }
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -15,8 +15,8 @@
 	"bankshift/internal/lab/scenario"
 )
 
-// base is a small fleet with room: 12 servers of 2 cores before 4 nodes.
-const base = `length = "6s"
+// baseScenario is a small fleet with room: 12 servers of 2 cores before 4 nodes.
+const baseScenario = `length = "6s"
 warm = "1s"
 [fleet]
 nodes = 4
@@ -61,16 +61,16 @@
 deadline = "1s"
 `
 
-func load(t testing.TB, discovery, traffic, events string) *scenario.Scenario {
+func parseScenario(t testing.TB, discovery, traffic, events string) *scenario.Scenario {
 	t.Helper()
-	s, err := scenario.Parse("test.toml", fmt.Appendf(nil, base+events, discovery, traffic))
+	s, err := scenario.Parse("test.toml", fmt.Appendf(nil, baseScenario+events, discovery, traffic))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func play(t testing.TB, s *scenario.Scenario) *result.Run {
+func runScenario(t testing.TB, s *scenario.Scenario) *result.Run {
 	t.Helper()
 	r, err := Run(context.Background(), s)
 	if err != nil {
@@ -83,8 +83,8 @@
 	return "[[event]]\nat = \"2s\"\n" + strings.Join(lines, "\n") + "\n"
 }
 
-func TestOrdinary(t *testing.T) {
-	r := play(t, load(t, "", "tenants = 10\nquota = 10", ""))
+func TestRunWithoutFaults(t *testing.T) {
+	r := runScenario(t, parseScenario(t, "", "tenants = 10\nquota = 10", ""))
 	q := r.Requests
 	if q.Offered < 900 || q.Offered > 1100 || q.Lost != 0 || len(r.Violations) > 0 || float64(q.WithinObjective) < 0.99*float64(q.Offered) {
 		t.Errorf("%+v, violations %q", q, r.Violations)
@@ -115,9 +115,9 @@
 		eventAt2s(`do = "lose-servers"`, `for = "1s"`, `count = 3`) + eventAt2s(`do = "discovery-silent"`, `for = "1s"`) +
 		eventAt2s(`do = "burst"`, `for = "1s"`, `by = 3`) + eventAt2s(`do = "replace-servers"`, `count = 2`)
 	text := func(seed uint64) string {
-		s := load(t, "", "", events)
+		s := parseScenario(t, "", "", events)
 		s.Seed = seed
-		r := play(t, s)
+		r := runScenario(t, s)
 		r.Cost = result.Cost{}
 		var b bytes.Buffer
 		if err := r.Write(&b); err != nil {
@@ -134,8 +134,8 @@
 	}
 }
 
-// TestActions: each has its effect, and none leads to a violation.
-func TestActions(t *testing.T) {
+// TestEventActions: each has its effect, and none leads to a violation.
+func TestEventActions(t *testing.T) {
 	servedFraction := func(r *result.Run, second int) float64 {
 		return float64(r.Windows[second].Served) / float64(r.Windows[second].Offered)
 	}
@@ -195,7 +195,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, load(t, c.discovery, "", c.events))
+			r := runScenario(t, parseScenario(t, c.discovery, "", c.events))
 			if len(r.Violations) > 0 || r.Requests.Lost > 0 {
 				t.Errorf("%d lost, violations: %q", r.Requests.Lost, r.Violations)
 			}
@@ -219,7 +219,7 @@
 // an index.
 func newFixture(t *testing.T, class int) *fixture {
 	t.Helper()
-	s := load(t, "", "", "")
+	s := parseScenario(t, "", "", "")
 	s.Traffic.Rate = 0.001 // none but the test's
 	m, err := newSim(s)
 	if err != nil {
@@ -241,7 +241,7 @@
 
 // send makes the node send to the i-th server, as if the balancer had said so.
 func (f *fixture) send(i int) {
-	id, _ := f.node.endpoints.ID(f.current[i].Name)
+	id, _ := f.node.endpoints.ID(f.currentServers[i].Name)
 	f.node.apply(balancer.Send{ID: f.request.id, Endpoint: id})
 	f.advance(0)
 }
@@ -254,14 +254,14 @@
 	f.request.attempts[0].cancel()
 }
 
-// sendToDrained sends to a server that has been listed as draining for long.
-func (f *fixture) sendToDrained() {
-	f.setStatus(f.current[0], model.Draining)
+// sendToDraining sends to a server that has been listed as draining for long.
+func (f *fixture) sendToDraining() {
+	f.setStatus(f.currentServers[0], model.Draining)
 	for v := range f.versionTimes {
 		f.versionTimes[v] = 0
 	}
 	for _, b := range f.node.pool.backends {
-		b.server = f.current[0]
+		b.server = f.currentServers[0]
 	}
 	f.send(1)
 	f.advance(5 * time.Millisecond)
@@ -269,7 +269,7 @@
 
 // overloadWarmingUp makes a server that warms up crash when all nodes know of its start.
 func (f *fixture) overloadWarmingUp() {
-	sv := f.current[0]
+	sv := f.currentServers[0]
 	f.startServer(sv)
 	f.advance(300 * time.Millisecond)
 	for range 200 {
@@ -280,8 +280,8 @@
 	}
 }
 
-// TestViolationsAreFound: what a balancer must not do is reported.
-func TestViolationsAreFound(t *testing.T) {
+// TestViolationsAreReported: what a balancer must not do is reported.
+func TestViolationsAreReported(t *testing.T) {
 	const read, save, order = 0, 1, 2 // classes
 	for _, c := range []struct {
 		name  string
@@ -309,7 +309,7 @@
 			f.send(0)
 			f.node.apply(balancer.Reject{ID: f.request.id})
 		}, "is refused"},
-		{"drain", read, (*fixture).sendToDrained, "told as draining"},
+		{"drain", read, (*fixture).sendToDraining, "told as draining"},
 		{"late", read, func(f *fixture) {
 			f.request.clientDeadline = f.now - time.Second
 			f.node.apply(balancer.Fail{ID: f.request.id})
@@ -331,7 +331,7 @@
 
 // BenchmarkSecond is a second of 45 nodes, 450 servers and 8,100 requests/s.
 func BenchmarkSecond(b *testing.B) {
-	s := load(b, "", "", "")
+	s := parseScenario(b, "", "", "")
 	s.Fleet.Nodes, s.Servers.Count, s.Traffic.Rate = 45, 450, 8100
 	s.Length = scenario.Duration(time.Hour)
 	m, err := newSim(s)
--- a/internal/lab/hollow/measure.go
+++ b/internal/lab/hollow/measure.go
@@ -15,13 +15,13 @@
 
 // second counts what happened in one second of the traffic.
 type second struct {
-	tries           int
-	attempts        int
-	retries         int // attempts after one that may have run
-	handshakes      int
-	sendsToAbsent   int // to servers that are down, lost or cut off
-	ejections       int
-	deadlineAnswers int // given by the node because the balancer had not answered in time
+	tries              int
+	attempts           int
+	retries            int // attempts after one that may have run
+	handshakes         int
+	sendsToUnavailable int // to servers that are down, lost or cut off
+	ejections          int
+	deadlineResponses  int // given by the node because the balancer had not answered in time
 
 	polls     int
 	snapshots int
@@ -37,19 +37,19 @@
 	outsideTraffic    second
 	windows           []result.Window
 	latency           []result.Histogram // by class
-	added             result.Histogram
+	addedLatency      result.Histogram
 	notificationTimes result.Histogram
 	nodeBytes         []int64 // list traffic, by node
 	quotas            *setup.Quotas
 	eventLog          []string
 	violations        int
-	heapBefore        int64 // without nodes
+	heapWithoutNodes  int64 // without nodes
 
 	// The balancers' processor time, and the number of their events.
 	balancerTime   time.Duration
 	balancerEvents int
 
-	atWarm counters
+	atWarmupEnd counters
 }
 
 // counters are totals that are measured from the end of the warm-up.
@@ -67,7 +67,7 @@
 		report:            result.New(s, result.Hollow),
 		seconds:           make([]second, seconds),
 		windows:           make([]result.Window, seconds),
-		added:             result.NewHistogram(),
+		addedLatency:      result.NewHistogram(),
 		notificationTimes: result.NewHistogram(),
 		nodeBytes:         make([]int64, s.Fleet.Nodes),
 		quotas:            setup.NewQuotas(s.Traffic.Tenants, s.Traffic.Quota),
@@ -133,12 +133,12 @@
 	}
 }
 
-// recordAdded measures what the node added to a served try: its time at the
+// recordAddedLatency measures what the node added to a served try: its time at the
 // node, less the way to the server, the time there and the way back.
-func (m *sim) recordAdded(a *attempt) {
+func (m *sim) recordAddedLatency(a *attempt) {
 	if a.request.client.measured {
 		network := (a.arrivedAt - a.writtenAt) + (m.now - a.repliedAt)
-		m.added.Add(m.now - a.request.arrivedAt - network - (a.repliedAt - a.arrivedAt))
+		m.addedLatency.Add(m.now - a.request.arrivedAt - network - (a.repliedAt - a.arrivedAt))
 	}
 }
 
@@ -182,11 +182,11 @@
 }
 
 // endWarmup begins what is measured from the end of the warm-up.
-func (m *sim) endWarmup() { m.atWarm = m.counters() }
+func (m *sim) endWarmup() { m.atWarmupEnd = m.counters() }
 
 // endTraffic ends what is measured up to the end of the traffic.
 func (m *sim) endTraffic() {
-	from := m.atWarm
+	from := m.atWarmupEnd
 	to := m.counters()
 	r := m.report
 	r.Control.Changes = to.versions - from.versions
@@ -205,7 +205,7 @@
 		all.Merge(h)
 	}
 	m.report.Latency["all"] = all.Latency()
-	m.report.Added = m.added.Latency()
+	m.report.Added = m.addedLatency.Latency()
 }
 
 // reportControl sums up the list traffic.
@@ -251,9 +251,9 @@
 	return []quantity{
 		{"further_attempts", float64(s.retries), retryBudget * float64(s.tries)},
 		{"handshakes", float64(s.handshakes), 0},
-		{"sends_to_absent", float64(s.sendsToAbsent), 0},
+		{"sends_to_absent", float64(s.sendsToUnavailable), 0},
 		{"suspects", float64(s.ejections), 0},
-		{"guard_answers", float64(s.deadlineAnswers), 0},
+		{"guard_answers", float64(s.deadlineResponses), 0},
 		{"list_calls", float64(s.polls), 0},
 		{"list_bytes", float64(s.listBytes), nodeListBytesPerSecond * float64(nodes)},
 		{"whole_lists", float64(s.snapshots), 0},
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	maxDeadlineWait = 3 * time.Second        // SIGKILL waits for the longest deadline, counted as at most this,
-	killSlack       = 700 * time.Millisecond // and this on top, by the protocol's page
-	answerLead      = 300 * time.Millisecond // before SIGKILL all answers are given, as in package node
+	maxKillDelay       = 3 * time.Second        // SIGKILL waits for the longest deadline, counted as at most this,
+	killSlack          = 700 * time.Millisecond // and this on top, by the protocol's page
+	lastResponseMargin = 300 * time.Millisecond // before SIGKILL all answers are given, as in package node
 )
 
 // hollowNode is one incarnation of a hollow node, from a start to its end.
@@ -32,12 +32,12 @@
 	pendingEvents []balancer.Event // not handled yet; the first is being handled
 	pool          pool
 
-	startedAt time.Duration
-	diedAt    time.Duration
-	ready     bool // it has had an endpoint
-	dead      bool
-	draining  bool          // it shuts down in order
-	answerBy  time.Duration // draining: when all requests are answered; 0: not draining
+	startedAt      time.Duration
+	diedAt         time.Duration
+	ready          bool // it has had an endpoint
+	dead           bool
+	draining       bool          // it shuts down in order
+	responsesDueBy time.Duration // draining: when all requests are answered; 0: not draining
 
 	endpoints    discovery.Directory
 	watcher      *discovery.Watcher
@@ -133,9 +133,9 @@
 		if r := n.requests[a.ID]; r != nil && !r.answered {
 			m.checkRejection(r)
 		}
-		n.answer(a.ID, tryRejected, a.RetryAfter)
+		n.respond(a.ID, tryRejected, a.RetryAfter)
 	case balancer.Fail:
-		n.answer(a.ID, tryFailed, 0)
+		n.respond(a.ID, tryFailed, 0)
 	case balancer.CancelAttempt:
 		if r := n.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
 			n.schedule(m.now, r.attempts[a.Attempt].cancel)
@@ -152,7 +152,7 @@
 		m.currentSecond().ejections++
 	case balancer.EndpointRecovered:
 	default:
-		m.violation("node %d: the action %T cannot be carried out", n.index, a)
+		m.recordViolation("node %d: the action %T cannot be carried out", n.index, a)
 	}
 }
 
@@ -202,13 +202,13 @@
 	for _, c := range n.cfg.Settings.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	killAt := m.now + min(longest, maxDeadlineWait) + killSlack
+	killAt := m.now + min(longest, maxKillDelay) + killSlack
 	n.draining = true
-	n.answerBy = killAt - answerLead
+	n.responsesDueBy = killAt - lastResponseMargin
 	for _, r := range n.sortedRequests() {
-		if !r.answered && n.answerBy < r.deadline {
-			r.deadline = n.answerBy
-			n.schedule(n.answerBy, func() { n.endUnanswered(r) })
+		if !r.answered && n.responsesDueBy < r.deadline {
+			r.deadline = n.responsesDueBy
+			n.schedule(n.responsesDueBy, func() { n.endUnanswered(r) })
 		}
 	}
 	m.schedule(killAt, n.kill)
--- a/internal/lab/hollow/poll.go
+++ b/internal/lab/hollow/poll.go
@@ -151,7 +151,7 @@
 	}
 	l, err := m.decode(response.Body)
 	if err != nil {
-		m.violation("a list cannot be read: %v", err)
+		m.recordViolation("a list cannot be read: %v", err)
 		n.pollFailed(poll)
 		return
 	}
--- a/internal/lab/hollow/pool.go
+++ b/internal/lab/hollow/pool.go
@@ -186,7 +186,7 @@
 func (c *conn) looksOpen() bool {
 	m := c.pool.node.sim
 	sv := c.backend.server
-	return c.model.Open(m.now) || c.connectedAt <= sv.vanishedAt || !m.reachable(c.pool.node.zone, sv.zone)
+	return c.model.Open(m.now) || c.connectedAt <= sv.disconnectedAt || !m.reachable(c.pool.node.zone, sv.zone)
 }
 
 // close ends a connection that is in none of its backend's lists.
--- a/internal/lab/hollow/request.go
+++ b/internal/lab/hollow/request.go
@@ -30,8 +30,8 @@
 		r.client.tryEnded(tryRejected, 0)
 		return
 	}
-	if n.draining && n.answerBy < r.deadline {
-		r.deadline = n.answerBy
+	if n.draining && n.responsesDueBy < r.deadline {
+		r.deadline = n.responsesDueBy
 	}
 	e.Timeout = r.deadline - m.now
 	n.requests[r.id] = r
@@ -54,34 +54,34 @@
 		return
 	}
 	m := n.sim
-	m.currentSecond().deadlineAnswers++
-	n.answer(r.id, tryFailed, 0)
+	m.currentSecond().deadlineResponses++
+	n.respond(r.id, tryFailed, 0)
 	for _, a := range r.attempts {
 		n.schedule(m.now, a.cancel)
 	}
 	n.handle(balancer.RequestAbandoned{ID: r.id})
 }
 
-// answer gives a try its final answer, once; later ones are ignored. Attempts
+// respond gives a try its final respond, once; later ones are ignored. Attempts
 // that have not been written are cancelled.
-func (n *hollowNode) answer(id balancer.RequestID, outcome tryOutcome, retryAfter time.Duration) {
+func (n *hollowNode) respond(id balancer.RequestID, outcome tryOutcome, retryAfter time.Duration) {
 	r := n.requests[id]
 	if r == nil || r.answered {
 		return
 	}
 	r.answered = true
-	n.sim.checkAnswerTime(r)
+	n.sim.checkResponseTime(r)
 	for _, a := range r.attempts {
 		if a.notWritten() {
 			n.schedule(n.sim.now, a.cancelUnsent)
 		}
 	}
 	r.client.tryEnded(outcome, retryAfter)
-	n.forget(r)
+	n.removeIfDone(r)
 }
 
-// forget drops a request that is answered and has no attempt in flight.
-func (n *hollowNode) forget(r *request) {
+// removeIfDone drops a request that is answered and has no attempt in flight.
+func (n *hollowNode) removeIfDone(r *request) {
 	if r.answered && r.inFlight == 0 {
 		delete(n.requests, r.id)
 	}
@@ -92,12 +92,12 @@
 	m := n.sim
 	r := n.requests[s.ID]
 	if r == nil {
-		m.violation("node %d sends a request that is not open", n.index)
+		m.recordViolation("node %d sends a request that is not open", n.index)
 		return
 	}
 	a := newAttempt(n, r, s)
 	if r.answered || r.inFlight > 0 && !n.cfg.Settings.HedgingAllowed {
-		n.refuseSend(a)
+		n.rejectAttempt(a)
 		return
 	}
 	m.checkSend(a, r.attempts)
@@ -107,8 +107,8 @@
 	n.schedule(m.now, a.start)
 }
 
-// refuseSend ends an attempt that must not be made.
-func (n *hollowNode) refuseSend(a *attempt) {
+// rejectAttempt ends an attempt that must not be made.
+func (n *hollowNode) rejectAttempt(a *attempt) {
 	r := a.request
 	a.state = attemptOver
 	a.outcome = balancer.NotSent
@@ -129,9 +129,9 @@
 	r.inFlight--
 	if a.outcome == balancer.OK {
 		if !r.answered {
-			n.sim.recordAdded(a)
+			n.sim.recordAddedLatency(a)
 		}
-		n.answer(r.id, tryServed, 0)
+		n.respond(r.id, tryServed, 0)
 	}
 	n.handle(balancer.AttemptEnded{
 		ID:          r.id,
@@ -141,5 +141,5 @@
 		Elapsed:     n.sim.now - a.sentAt,
 		Outcome:     a.outcome,
 	})
-	n.forget(r)
+	n.removeIfDone(r)
 }
--- a/internal/lab/hollow/rules.go
+++ b/internal/lab/hollow/rules.go
@@ -17,8 +17,8 @@
 	notifiedFraction = 2.0 / 3
 )
 
-// violation records that a rule was broken.
-func (m *sim) violation(format string, args ...any) {
+// recordViolation records that a rule was broken.
+func (m *sim) recordViolation(format string, args ...any) {
 	m.violations++
 	if m.violations <= maxViolations {
 		at := fmt.Sprintf("%.3fs: ", (m.now - m.trafficStart).Seconds())
@@ -31,10 +31,10 @@
 func (m *sim) checkSend(a *attempt, earlier []*attempt) {
 	r := a.request
 	if r.answered {
-		m.violation("node %d: a send for %s, which has its answer", a.node.index, r.id)
+		m.recordViolation("node %d: a send for %s, which has its answer", a.node.index, r.id)
 	}
 	if limit := m.scenario.Fleet.MaxAttempts; len(earlier) >= limit {
-		m.violation("node %d: attempt %d of %s, %d are allowed", a.node.index, len(earlier)+1, r.id, limit)
+		m.recordViolation("node %d: attempt %d of %s, %d are allowed", a.node.index, len(earlier)+1, r.id, limit)
 	}
 	for _, e := range earlier {
 		m.checkRepeat(a, e)
@@ -47,12 +47,12 @@
 	b := a.node.pool.backends[a.endpoint]
 	switch {
 	case earlier.state != attemptOver && !m.scenario.Fleet.HedgingAllowed:
-		m.violation("node %d: two attempts of %s are out", a.node.index, r.id)
+		m.recordViolation("node %d: two attempts of %s are out", a.node.index, r.id)
 	case !earlier.mayHaveRun() || r.class.Idempotency == scenario.Idempotent:
 	case r.class.Idempotency == scenario.NotIdempotent:
-		m.violation("node %d: %s is unsafe, may have run, and is sent again", a.node.index, r.id)
+		m.recordViolation("node %d: %s is unsafe, may have run, and is sent again", a.node.index, r.id)
 	case b != nil && earlier.backend != nil && leavesScope(r.class.KeyScope, earlier.backend.server, b.server):
-		m.violation("node %d: %s may have run and leaves its %s", a.node.index, r.id, r.class.KeyScope)
+		m.recordViolation("node %d: %s may have run and leaves its %s", a.node.index, r.id, r.class.KeyScope)
 	}
 }
 
@@ -73,17 +73,17 @@
 	window := r.class.KeyWindow
 	for _, e := range r.attempts[:a.number] {
 		if r.class.Idempotency == scenario.IdempotentByKey && e.mayHaveRun() && m.now > e.sentAt+window.Std()+socketSlack {
-			m.violation("node %d: %s goes out again %v after it may have run, its key is known for %v",
+			m.recordViolation("node %d: %s goes out again %v after it may have run, its key is known for %v",
 				a.node.index, r.id, m.now-e.sentAt, window)
 		}
 	}
-	if sv.leftVersion == 0 {
+	if sv.notReadyVersion == 0 {
 		return
 	}
 	grace := m.scenario.Discovery.DrainGrace.Std() + socketSlack
-	notifiedAt := m.notifiedAt(a.node, sv.leftVersion)
-	if m.now > m.versionTimes[sv.leftVersion]+grace && m.now > notifiedAt+grace {
-		m.violation("node %d: %s goes to %s, told as %s %v ago", a.node.index, r.id, sv.Name, sv.entry.Status, m.now-notifiedAt)
+	notifiedAt := m.notifiedAt(a.node, sv.notReadyVersion)
+	if m.now > m.versionTimes[sv.notReadyVersion]+grace && m.now > notifiedAt+grace {
+		m.recordViolation("node %d: %s goes to %s, told as %s %v ago", a.node.index, r.id, sv.Name, sv.entry.Status, m.now-notifiedAt)
 	}
 }
 
@@ -94,16 +94,16 @@
 	}
 	for _, a := range r.attempts {
 		if a.mayHaveRun() {
-			m.violation("%s may have run and is refused", r.id)
+			m.recordViolation("%s may have run and is refused", r.id)
 			return
 		}
 	}
 }
 
-// checkAnswerTime checks that an answer is in time.
-func (m *sim) checkAnswerTime(r *request) {
+// checkResponseTime checks that an answer is in time.
+func (m *sim) checkResponseTime(r *request) {
 	if m.now > r.clientDeadline+responseSlack {
-		m.violation("%s is answered %v late", r.id, m.now-r.clientDeadline)
+		m.recordViolation("%s is answered %v late", r.id, m.now-r.clientDeadline)
 	}
 }
 
@@ -131,7 +131,7 @@
 		}
 	}
 	if float64(notified) >= notifiedFraction*float64(len(sv.warmupSends)) {
-		m.violation("%s fell over %v after its start: %d of the last %d sends came from nodes that were told",
+		m.recordViolation("%s fell over %v after its start: %d of the last %d sends came from nodes that were told",
 			sv.Name, m.now-sv.startedAt, notified, len(sv.warmupSends))
 	}
 }
--- a/internal/lab/hollow/server.go
+++ b/internal/lab/hollow/server.go
@@ -19,13 +19,13 @@
 	wakeAt   time.Duration       // when the model is advanced next
 	inFlight map[uint64]*attempt // accepted by the model, by model.Work.ID
 
-	entry        model.Entry
-	startedAt    time.Duration // the start that is listed
-	leftVersion  uint64        // the version that lists it as draining or removed; 0: it is ready
-	startVersion uint64        // the version that lists its last start; 0: none
-	vanishedAt   time.Duration // when its machine vanished last; below 0: never
-	crashes      int
-	warmupSends  []warmupSend // within the last CrashWindow while it warms up
+	entry           model.Entry
+	startedAt       time.Duration // the start that is listed
+	notReadyVersion uint64        // the version that lists it as draining or removed; 0: it is ready
+	startVersion    uint64        // the version that lists its last start; 0: none
+	disconnectedAt  time.Duration // when its machine vanished last; below 0: never
+	crashes         int
+	warmupSends     []warmupSend // within the last CrashWindow while it warms up
 }
 
 // warmupSend is a message that reached a server that warms up.
@@ -39,7 +39,7 @@
 	var entries []model.Entry
 	for i := range m.scenario.Servers.Count {
 		sv := m.newServer(i)
-		m.current = append(m.current, sv)
+		m.currentServers = append(m.currentServers, sv)
 		sv.entry.Status = model.Ready
 		entries = append(entries, sv.entry)
 	}
@@ -52,13 +52,13 @@
 	config := setup.ServerConfig(m.scenario, description, &m.keyStores)
 	rng := rand.New(rand.NewPCG(m.scenario.Seed, setup.StreamServers+uint64(i)))
 	sv := &server{
-		Server:     description,
-		zone:       m.zoneOf[description.Zone],
-		model:      model.NewServer(config, rng),
-		wakeAt:     discovery.Never,
-		inFlight:   map[uint64]*attempt{},
-		entry:      setup.Entry(description, setup.UnusedAddress(i)),
-		vanishedAt: -1,
+		Server:         description,
+		zone:           m.zoneOf[description.Zone],
+		model:          model.NewServer(config, rng),
+		wakeAt:         discovery.Never,
+		inFlight:       map[uint64]*attempt{},
+		entry:          setup.Entry(description, setup.UnusedAddress(i)),
+		disconnectedAt: -1,
 	}
 	m.servers = append(m.servers, sv)
 	m.byName[sv.Name] = sv
@@ -78,9 +78,9 @@
 func (m *sim) setStatus(sv *server, status string) {
 	sv.entry.Status = status
 	m.publish(sv.entry)
-	sv.leftVersion = 0
+	sv.notReadyVersion = 0
 	if status != model.Ready {
-		sv.leftVersion = m.registry.Version()
+		sv.notReadyVersion = m.registry.Version()
 	}
 }
 
@@ -163,15 +163,15 @@
 
 // replaceServer drains a server, ends it after twice the drain grace, and
 // starts its successor, under a new name, in its place.
-func (m *sim) replaceServer(sv *server, place int) {
+func (m *sim) replaceServer(sv *server, slot int) {
 	m.setStatus(sv, model.Draining)
 	m.schedule(m.now+2*m.scenario.Discovery.DrainGrace.Std(), func() {
 		sv.model.Kill(m.now)
 		m.wakeServer(sv)
 		m.setStatus(sv, model.Removed)
-		m.successors++
-		next := m.newServer(place + m.successors*m.scenario.Servers.Count)
-		m.current[place] = next
+		m.replacements++
+		next := m.newServer(slot + m.replacements*m.scenario.Servers.Count)
+		m.currentServers[slot] = next
 		m.startServer(next)
 	})
 }
--- a/internal/lab/hollow/sim.go
+++ b/internal/lab/hollow/sim.go
@@ -49,16 +49,16 @@
 	outages    []outage          // of what nodes learn
 
 	// Servers and discovery
-	byName       map[string]*server
-	servers      []*server // all there ever were
-	current      []*server // the one in each place now
-	keyStores    setup.KeyStores
-	successors   int // servers replaced so far
-	registry     *model.Registry
-	registryWake time.Duration   // when registry is advanced next
-	versionTimes []time.Duration // when each version of the list was made
-	decodedBody  []byte          // of the last list decoded
-	decodedList  discovery.List
+	byName         map[string]*server
+	servers        []*server // all there ever were
+	currentServers []*server // the one in each place now
+	keyStores      setup.KeyStores
+	replacements   int // servers replaced so far
+	registry       *model.Registry
+	registryWake   time.Duration   // when registry is advanced next
+	versionTimes   []time.Duration // when each version of the list was made
+	decodedBody    []byte          // of the last list decoded
+	decodedList    discovery.List
 
 	// Nodes and clients
 	nodes        []*hollowNode
@@ -146,7 +146,7 @@
 	}
 	m.registry = model.NewRegistry(setup.RegistryConfig(s), rand.New(rand.NewPCG(s.Seed, setup.StreamRegistry)))
 	m.buildServers()
-	m.heapBefore = heapInUse()
+	m.heapWithoutNodes = heapInUse()
 	if err := m.buildNodes(); err != nil {
 		return nil, err
 	}
@@ -242,7 +242,7 @@
 	var sendDue func()
 	sendDue = func() {
 		for ok && m.trafficStart+a.At <= m.now {
-			m.offer(a)
+			m.startClient(a)
 			a, ok = next()
 		}
 		if ok {
@@ -258,7 +258,7 @@
 	q := &r.Requests
 	q.Lost = q.Offered - q.Served - q.Rejected - q.Failed
 	if m.openClients > 0 {
-		m.violation("%d requests got no answer", m.openClients)
+		m.recordViolation("%d requests got no answer", m.openClients)
 	}
 	m.reportLatency()
 	r.Windows = m.windows
--- a/internal/lab/hollow/stored_test.go
+++ b/internal/lab/hollow/stored_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := play(t, s); len(r.Violations) > 0 || r.Scenario != s.Name || r.Requests.Served == 0 {
+	if r := runScenario(t, s); len(r.Violations) > 0 || r.Scenario != s.Name || r.Requests.Served == 0 {
 		t.Errorf("%s: violations %q", s.Name, r.Violations)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
