--- a/internal/lab/hollow/attempt.go
+++ b/internal/lab/hollow/attempt.go
@@ -8,34 +8,34 @@
 	"bankshift/internal/lab/scenario"
 )
 
-// attemptState is how far an attempt has come.
+// attemptState is the stage that an attempt has reached.
 type attemptState int
 
 const (
 	attemptNew attemptState = iota
 	attemptConnecting
-	attemptWaiting // written, its response is awaited
+	attemptWaiting // the request is written, the response is pending
 	attemptOver
 )
 
-// attempt is one send of a request to a server.
+// attempt is one transmission of a request to a server, ordered by the balancer's Send.
 type attempt struct {
 	node     *hollowNode
 	request  *request
-	number   int // among the request's attempts
+	number   int // index among the request's attempts
 	endpoint balancer.EndpointID
 	backend  *backend
 	conn     *conn
-	dialing  bool // counted in pool.open without a connection
+	dialing  bool // a connection is being established; pool.open already counts it
 	state    attemptState
-	outcome  balancer.Outcome // with attemptOver
+	outcome  balancer.Outcome // set when the attempt ends
 
-	sentAt    time.Duration // of the balancer's Send
+	sentAt    time.Duration // when the balancer ordered the Send
 	timeoutAt time.Duration
-	startBy   time.Duration // the first byte is written before it; 0: no such limit
+	startBy   time.Duration // the request's first byte must be written before this time; 0: no limit
 	writtenAt time.Duration
-	arrivedAt time.Duration // at the server
-	repliedAt time.Duration // by the server
+	arrivedAt time.Duration // when the request reached the server
+	repliedAt time.Duration // when the server sent its response
 }
 
 func newAttempt(n *hollowNode, r *request, s balancer.Send) *attempt {
@@ -63,7 +63,8 @@
 	return a.state == attemptNew || a.state == attemptConnecting
 }
 
-// start takes a connection from the pool, or dials.
+// start schedules the attempt's time limits, then takes an idle connection or dials a new one. The attempt
+// ends as NotSent if its endpoint is not listed or the pool is full.
 func (a *attempt) start() {
 	n := a.node
 	if a.state == attemptOver {
@@ -102,14 +103,15 @@
 	m.schedule(m.now+m.delay(n.zone, sv.zone), func() { a.connectAtServer(sv) })
 }
 
-// connectFailed ends an attempt that has no connection.
+// connectFailed ends the attempt with ConnectFailed, unless its request has been written.
 func (a *attempt) connectFailed() {
 	if a.notWritten() {
 		a.finish(balancer.ConnectFailed)
 	}
 }
 
-// connectAtServer is the connection request at the server.
+// connectAtServer handles the connection request when it arrives at the server. If a partition separates the
+// zones by then, the request is lost and the node's connect timeout expires.
 func (a *attempt) connectAtServer(sv *server) {
 	n := a.node
 	m := n.sim
@@ -145,12 +147,12 @@
 	m.schedule(answeredAt, func() { a.connected(c) })
 }
 
-// connected is the established connection at the node.
+// connected handles the established connection when the server's answer arrives at the node.
 func (a *attempt) connected(c *conn) {
 	n := a.node
 	switch {
 	case !n.sim.reachable(n.zone, c.backend.server.zone):
-	case n.dead || !a.notWritten(): // it is no longer wanted
+	case n.dead || !a.notWritten(): // the attempt no longer needs the connection
 		c.closeAtServer()
 	default:
 		a.backend.busy = append(a.backend.busy, c)
@@ -158,7 +160,7 @@
 	}
 }
 
-// write checks for the last time that the request may be sent, and sends it.
+// write checks once more that the request may be sent, and writes it to the connection.
 func (a *attempt) write(c *conn) {
 	m := a.node.sim
 	a.dialing = false
@@ -179,13 +181,15 @@
 	m.schedule(arrivesAt, func() { a.arrive(sv, c) })
 }
 
+// mayWrite reports whether the attempt is within its time limits, the request is unanswered and the backend
+// takes requests.
 func (a *attempt) mayWrite() bool {
 	now := a.node.sim.now
 	inTime := now < a.timeoutAt && (a.startBy == 0 || now < a.startBy)
 	return inTime && !a.request.answered && !a.backend.closed && !a.backend.draining
 }
 
-// arrive is the request's last byte at the server.
+// arrive handles the arrival of the request's last byte at the server.
 func (a *attempt) arrive(sv *server, c *conn) {
 	m := a.node.sim
 	if !m.reachable(a.node.zone, sv.zone) {
@@ -214,7 +218,7 @@
 	m.wakeServer(sv)
 }
 
-// work is the attempt's request as the server's model takes it.
+// work returns the attempt's request in the form that the server's model takes.
 func (a *attempt) work(id uint64) model.Work {
 	r := a.request
 	work := model.Work{ID: id, Cost: r.client.arrival.Work}
@@ -226,7 +230,7 @@
 	return work
 }
 
-// deliverReply brings a server's response to the node.
+// deliverReply sends a server's response to the node, where it arrives after the network delay.
 func (m *sim) deliverReply(a *attempt, outcome model.Outcome) {
 	if a.state != attemptWaiting {
 		return
@@ -250,21 +254,20 @@
 	})
 }
 
-// timeOut ends the attempt at its timeout.
+// timeOut ends the attempt at its timeout, with TimedOut if its request has been written.
 func (a *attempt) timeOut() { a.end(balancer.TimedOut) }
 
-// cancel ends the attempt as the balancer requests.
+// cancel ends the attempt before its timeout, with Canceled if its request has been written.
 func (a *attempt) cancel() { a.end(balancer.Canceled) }
 
-// cancelUnsent ends an attempt that has not been written.
+// cancelUnsent ends the attempt if its request has not been written.
 func (a *attempt) cancelUnsent() {
 	if a.notWritten() {
 		a.finish(balancer.NotSent)
 	}
 }
 
-// end ends the attempt with NotSent if it has not been written, else with the
-// given outcome.
+// end ends the attempt, with NotSent if its request has not been written, else with the outcome ifWritten.
 func (a *attempt) end(ifWritten balancer.Outcome) {
 	switch {
 	case a.notWritten():
@@ -274,7 +277,8 @@
 	}
 }
 
-// finish ends the attempt, once, and returns or closes its connection.
+// finish ends the attempt unless it has ended. It returns the connection to the pool after a complete response
+// and closes it otherwise.
 func (a *attempt) finish(outcome balancer.Outcome) {
 	if a.state == attemptOver {
 		return
@@ -292,13 +296,13 @@
 	a.report(outcome)
 }
 
-// report tells the node how the attempt ended.
+// report records the attempt's outcome and schedules the node's handling of it.
 func (a *attempt) report(outcome balancer.Outcome) {
 	a.outcome = outcome
 	a.node.schedule(a.node.sim.now, func() { a.node.attemptEnded(a) })
 }
 
-// abort ends the attempt together with its node.
+// abort ends the attempt without a report, because its node has died.
 func (a *attempt) abort() { a.state = attemptOver }
 
 // mayHaveRun reports whether the attempt is in flight, or has ended without
--- a/internal/lab/hollow/client.go
+++ b/internal/lab/hollow/client.go
@@ -11,31 +11,31 @@
 	"bankshift/internal/node"
 )
 
-// tryOutcome is how a try ended for its client.
+// tryOutcome is the result of a try as its client sees it.
 type tryOutcome int
 
 const (
 	tryServed tryOutcome = iota
 	tryRejected
 	tryFailed
-	tryUnreachable // no node received it: it was never executed
+	tryUnreachable // no node received the try, so it was never executed
 )
 
-// client is a client's request over all its tries.
+// client is one client with its only request, over all tries of it.
 type client struct {
 	sim         *sim
 	arrival     arrivals.Arrival
 	class       *class
 	key         string        // idempotency key, "" if none
 	sentAt      time.Duration // intended time of the first try
-	deadline    time.Duration // over all tries
+	deadline    time.Duration // of the request, over all tries
 	tries       int           // sent so far
-	withinQuota bool          // of its tenant
+	withinQuota bool          // the request is within its tenant's quota
 	finished    bool
-	measured    bool // its first try is after the warm-up
+	measured    bool // the first try is due after the warm-up
 }
 
-// startClient begins the request of an arrival.
+// startClient creates the client of an arrival and sends its first try.
 func (m *sim) startClient(a arrivals.Arrival) {
 	class := &m.classes[a.Class]
 	c := &client{
@@ -54,7 +54,7 @@
 	c.sendTry()
 }
 
-// sendTry sends the request to a node.
+// sendTry sends the next try of the request to a node.
 func (c *client) sendTry() {
 	m := c.sim
 	c.tries++
@@ -87,8 +87,8 @@
 	})
 }
 
-// chooseNode is the client's own node or, once its load balancer has noticed
-// that this one is unavailable, another; nil if there is none.
+// chooseNode returns the client's own node if that is available. Otherwise it returns another available node.
+// It returns nil if there is none, and for a first try before the load balancer in front has noticed the failure.
 func (c *client) chooseNode() *hollowNode {
 	m := c.sim
 	own := m.nodes[c.arrival.Node]
@@ -104,7 +104,7 @@
 	return other
 }
 
-// tenant is the name of the client's tenant, "" if none.
+// tenant returns the name of the client's tenant, "" if it has none.
 func (c *client) tenant() string {
 	if c.arrival.Tenant < 0 {
 		return ""
@@ -112,8 +112,8 @@
 	return c.sim.tenants[c.arrival.Tenant]
 }
 
-// tryEnded ends a try. The client tries again where it may and has tries and
-// time left.
+// tryEnded handles the end of a try. The client retries if that is safe and it has tries and time left;
+// otherwise the outcome is final.
 func (c *client) tryEnded(outcome tryOutcome, retryAfter time.Duration) {
 	m := c.sim
 	if c.finished {
@@ -131,7 +131,8 @@
 	m.recordFinal(c, outcome)
 }
 
-// backoff is the wait before the next try.
+// backoff returns the wait before the next try: Retry-After where the scenario allows it, else the scenario's
+// mean wait with jitter.
 func (c *client) backoff(retryAfter time.Duration) time.Duration {
 	m := c.sim
 	if retryAfter > 0 && m.scenario.Fleet.RetryAfterAllowed {
@@ -140,7 +141,8 @@
 	return time.Duration(float64(m.scenario.Traffic.Backoff) * (0.5 + m.rng.Float64()))
 }
 
-// mayRetry reports whether another try does no harm.
+// mayRetry reports whether another try does no harm: the node rejected this one or never received it, or a
+// second execution is harmless at any server at present.
 func (c *client) mayRetry(outcome tryOutcome) bool {
 	if outcome == tryRejected || outcome == tryUnreachable || c.class.Idempotency == scenario.Idempotent {
 		return true
--- a/internal/lab/hollow/faults.go
+++ b/internal/lab/hollow/faults.go
@@ -8,7 +8,7 @@
 	"bankshift/internal/lab/setup"
 )
 
-// scheduleEvent schedules the steps of event i.
+// scheduleEvent schedules the steps of event i and describes the event for the result.
 func (m *sim) scheduleEvent(i int) {
 	e := m.scenario.Events[i]
 	steps := m.scenario.Steps(i)
@@ -43,12 +43,12 @@
 			m.registry.ResetWatches(m.now)
 			m.wakeRegistry()
 		})
-	case scenario.Burst: // package arrivals plays it
+	case scenario.Burst: // package arrivals draws the additional requests
 	}
 }
 
-// serverFault returns what an event does to a server at its beginning and at
-// its end. begin is nil for other events, end for those that have none.
+// serverFault returns the functions that begin and end an event's fault at one server. begin is nil if the event
+// is not a fault of servers, end is nil if the fault does not end by itself.
 func (m *sim) serverFault(e scenario.Event, slot int) (begin, end func(*server)) {
 	switch e.Action {
 	case scenario.RestartServers:
@@ -72,8 +72,8 @@
 	return nil, nil
 }
 
-// scheduleServerFault applies a fault to the server that is in a place when it
-// begins, and ends it for that server, not for a successor.
+// scheduleServerFault applies a fault to the server that occupies a slot when the fault begins. The fault ends
+// for the same server, even if a successor has taken the slot by then.
 func (m *sim) scheduleServerFault(slot int, beginAt, endAt time.Duration, begin, end func(*server)) {
 	m.schedule(beginAt, func() {
 		sv := m.currentServers[slot]
@@ -89,19 +89,20 @@
 	})
 }
 
+// disconnectServer takes a server's machine off the network.
 func (m *sim) disconnectServer(sv *server) {
 	sv.disconnectedAt = m.now
 	sv.model.Disconnect(m.now)
 }
 
-// endDraining lists a server as ready again, unless it was replaced meanwhile.
+// endDraining lists a server as ready again, unless it has been replaced in the meantime.
 func (m *sim) endDraining(sv *server) {
 	if sv.entry.Status == model.Draining {
 		m.setStatus(sv, model.Ready)
 	}
 }
 
-// changeWeight makes a harmless change of the list.
+// changeWeight publishes a new weight of a server, as a harmless change of the list.
 func (m *sim) changeWeight(sv *server) {
 	if sv.entry.Status == model.Removed {
 		return
@@ -110,7 +111,7 @@
 	m.publish(sv.entry)
 }
 
-// scheduleOutage schedules an outage of discovery for all nodes.
+// scheduleOutage schedules an outage of discovery for all nodes; set switches it on and off in the model.
 func (m *sim) scheduleOutage(begin, end time.Duration, set func(now time.Duration, on bool)) {
 	m.outages = append(m.outages, outage{from: begin, to: end})
 	m.schedule(begin, func() {
@@ -123,7 +124,8 @@
 	})
 }
 
-// schedulePartition schedules the event Cut.
+// schedulePartition schedules the network partition of a Cut event: the zones that it includes reach only each
+// other.
 func (m *sim) schedulePartition(e scenario.Event, begin, end time.Duration) {
 	inside := make([]bool, len(m.scenario.Zones))
 	for i, z := range m.scenario.Zones {
@@ -142,8 +144,7 @@
 	})
 }
 
-// isolateNodes cuts the nodes of some zones off from discovery, or connects
-// them again.
+// isolateNodes disconnects the nodes of the zones in inside from discovery, or connects them again.
 func (m *sim) isolateNodes(inside []bool, on bool) {
 	for _, n := range m.nodes {
 		if inside[n.zone] {
--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -1,26 +1,27 @@
-// Package hollow plays a scenario with hollow nodes: hundreds of them in one
-// process, on one virtual clock.
+// Package hollow runs a scenario with hollow nodes: hundreds of nodes without
+// sockets in one process, on one virtual clock.
 //
 // A hollow node runs the project's own code: node.ParseConfig on the
 // configuration that the scenario gives a real node, discovery.Watcher and
 // discovery.Directory on the bytes of model.Registry's lists, and
-// balancer.Balancer. It gives the balancer the same events in the same manner
-// as the loop of package node, and carries out its actions.
+// balancer.Balancer. It passes the balancer the same events in the same way as
+// the event loop of package node, and carries out the resulting actions.
 //
-// Left out is the request path's own work: sockets, HTTP parsing and writing,
-// bodies, goroutines and their scheduling. A node takes no time to decide or to
-// pass anything on, has no limit of processor time, and its clients are beside
-// it, so that what it adds to a request is waiting alone: for connections, for
-// attempts that fail, for clients' retries. A message lost to a partition or a
-// vanished machine is never repeated, where TCP would try again. Lists are
-// decoded once for all nodes that get the same bytes.
+// The work of the request path itself is not modelled: sockets, HTTP parsing and
+// writing, bodies, goroutines and their scheduling. A node decides and forwards
+// in no time, its processor time is unlimited, and there is no network between
+// it and its clients. The latency that it adds to a request is therefore only
+// waiting: for connections, for attempts that fail, for clients' retries. A
+// message that is lost to a partition or a disconnected machine is never sent
+// again, while TCP would retransmit it. Lists are decoded once for all nodes
+// that receive the same bytes.
 //
-// Modelled a second time is what package upstream's pool does with
-// connections: which one is taken, how long it rests, when it expires, when
-// one is dialled, evicted or closed, and the checks before a request's first
-// byte (pool.go, attempt.go). The times come from package upstream.
+// The handling of connections in package upstream is reimplemented in pool.go
+// and attempt.go: which connection is taken, how long it rests after a
+// response, when it expires, when one is dialled, evicted or closed, and the
+// checks before a request's first byte. The times come from package upstream.
 //
-// A run of one scenario gives the same result each time, except for its cost.
+// Repeated runs of a scenario give the same result, except for its cost.
 package hollow
 
 import (
@@ -32,8 +33,8 @@
 	"bankshift/internal/lab/scenario"
 )
 
-// Run plays a scenario to its end. It fails only where the node's own code does
-// not accept the scenario's configuration, or with ctx's error when ctx ends.
+// Run runs a scenario to its end. It fails only if the node's own code rejects the scenario's configuration, or
+// with ctx's error when ctx ends.
 func Run(ctx context.Context, s *scenario.Scenario) (*result.Run, error) {
 	began := time.Now()
 	m, err := newSim(s)
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -15,7 +15,8 @@
 	"bankshift/internal/lab/scenario"
 )
 
-// baseScenario is a small fleet with room: 12 servers of 2 cores before 4 nodes.
+// baseScenario is a small fleet with spare capacity: 4 nodes in front of 12 servers with 2 cores each. Its two verbs
+// stand for further settings of discovery and of the traffic.
 const baseScenario = `length = "6s"
 warm = "1s"
 [fleet]
@@ -83,33 +84,35 @@
 	return "[[event]]\nat = \"2s\"\n" + strings.Join(lines, "\n") + "\n"
 }
 
+// TestRunWithoutFaults guards against lost or miscounted requests, broken rules and wrong measurements of latency,
+// locality, list traffic and quotas in a run without events.
 func TestRunWithoutFaults(t *testing.T) {
 	r := runScenario(t, parseScenario(t, "", "tenants = 10\nquota = 10", ""))
 	q := r.Requests
 	if q.Offered < 900 || q.Offered > 1100 || q.Lost != 0 || len(r.Violations) > 0 || float64(q.WithinObjective) < 0.99*float64(q.Offered) {
-		t.Errorf("%+v, violations %q", q, r.Violations)
+		t.Errorf("%+v, violations %q, want about 1,000 offered, 0 lost, 99%% within objective, no violations", q, r.Violations)
 	}
 	if q.Served+q.Rejected+q.Failed != q.Offered || q.Tries < q.Offered || q.Attempts < q.Served {
-		t.Errorf("counts do not add up: %+v", q)
+		t.Errorf("%+v, want served, rejected and failed to add up to offered, tries >= offered, attempts >= served", q)
 	}
-	// Blind picks would take 5 in 12 across: three of four nodes are in region
-	// west with two thirds of the servers. Nearer ones answer sooner.
+	// Uniform random picks would send 5 in 12 attempts to the other region: three of the four nodes and two thirds
+	// of the servers are in region west. Fewer must cross, because nearer servers answer sooner.
 	if cross := float64(q.CrossRegion) / float64(q.Attempts); cross < 0.1 || cross > 0.42 {
-		t.Errorf("%.2f of the attempts cross regions", cross)
+		t.Errorf("the fraction %.2f of the attempts crosses regions, want 0.1 to 0.42", cross)
 	}
 	if l := r.Latency["all"]; l.Count != int64(q.Served) || l.Mean < 0.02 || l.Mean > 0.08 {
-		t.Errorf("latency %+v", l)
+		t.Errorf("latency %+v, want one value per served request and a mean of 20 to 80 ms", l)
 	}
 	if c := r.Control; c.Calls < 75 || c.Calls > 85 || c.NodeRate < 1000 || c.NodeRate > 1400 {
-		t.Errorf("control %+v, want 4 calls and about 1,180 bytes a second and node", c)
+		t.Errorf("control %+v, want 4 calls per second and about 1,180 bytes/s for each node", c)
 	}
 	if q.WithinQuota < q.Offered*2/5 || q.WithinQuota > q.Offered*3/5 {
-		t.Errorf("%d of %d requests inside shares that are half of the traffic", q.WithinQuota, q.Offered)
+		t.Errorf("%d of %d requests are within quotas that add up to half of the traffic, want 2/5 to 3/5", q.WithinQuota, q.Offered)
 	}
 }
 
-// TestSameSeedSameResult compares all but the cost byte by byte, with many faults
-// at once.
+// TestSameSeedSameResult guards against runs that do not depend on the seed alone. It compares everything except the
+// cost byte by byte, with many faults at once.
 func TestSameSeedSameResult(t *testing.T) {
 	events := eventAt2s(`do = "cut"`, `for = "1s"`, `zone = "a"`) + eventAt2s(`do = "kill-nodes"`, `count = 1`) +
 		eventAt2s(`do = "lose-servers"`, `for = "1s"`, `count = 3`) + eventAt2s(`do = "discovery-silent"`, `for = "1s"`) +
@@ -127,14 +130,15 @@
 	}
 	one := text(1)
 	if one != text(1) {
-		t.Error("the same seed gives another result")
+		t.Error("two runs with seed 1 give different results")
 	}
 	if one == text(2) {
-		t.Error("another seed gives the same result")
+		t.Error("seeds 1 and 2 give the same result")
 	}
 }
 
-// TestEventActions: each has its effect, and none leads to a violation.
+// TestEventActions guards against an action without its effect, and against nodes that lose requests or break a rule
+// under one.
 func TestEventActions(t *testing.T) {
 	servedFraction := func(r *result.Run, second int) float64 {
 		return float64(r.Windows[second].Served) / float64(r.Windows[second].Offered)
@@ -157,7 +161,7 @@
 			return servedFraction(r, 2) < 0.9 && servedFraction(r, 5) > 0.97 && r.Control.Changes == 0
 		}},
 		{"slow-servers", "", eventAt2s(`do = "slow-servers"`, `for = "1s"`, `by = 4`), func(r *result.Run) bool {
-			return r.Latency["all"].P99 > 0.15 // as ever, 0.1
+			return r.Latency["all"].P99 > 0.15 // 0.1 without the event
 		}},
 		{"fail-servers", "", eventAt2s(`do = "fail-servers"`, `for = "1s"`), func(r *result.Run) bool {
 			return servedFraction(r, 2) < 0.5 && servedFraction(r, 5) > 0.97 && r.Requests.Wasted > 0.05
@@ -184,9 +188,9 @@
 			return r.Control.Notification.P50 > 1 && r.Control.Notification.Count == 4 && servedFraction(r, 2) > 0.97
 		}},
 		{"watches-break", "asked = true", eventAt2s(`do = "watches-break"`), func(r *result.Run) bool {
-			return r.Control.Calls == 8 && servedFraction(r, 2) > 0.97 // of each node one answered at once, and the next watch
+			return r.Control.Calls == 8 && servedFraction(r, 2) > 0.97 // per node: a poll answered at once, then a watch
 		}},
-		{"asked lists", "asked = true", eventAt2s(`do = "change-lists"`, `count = 2`, `over = "1s"`), func(r *result.Run) bool {
+		{"on-demand lists", "asked = true", eventAt2s(`do = "change-lists"`, `count = 2`, `over = "1s"`), func(r *result.Run) bool {
 			return r.Control.Notification.Count == 8 && r.Control.Calls == 8
 		}},
 		{"burst", "", eventAt2s(`do = "burst"`, `for = "1s"`, `by = 3`), func(r *result.Run) bool {
@@ -197,30 +201,29 @@
 			t.Parallel()
 			r := runScenario(t, parseScenario(t, c.discovery, "", c.events))
 			if len(r.Violations) > 0 || r.Requests.Lost > 0 {
-				t.Errorf("%d lost, violations: %q", r.Requests.Lost, r.Violations)
+				t.Errorf("%d requests lost, violations %q, want none", r.Requests.Lost, r.Violations)
 			}
 			if !c.want(r) {
 				var b bytes.Buffer
 				r.Table(&b)
-				t.Errorf("%s\n%+v", b.String(), r.Windows)
+				t.Errorf("the event does not have the wanted effect:\n%s\n%+v", b.String(), r.Windows)
 			}
 		})
 	}
 }
 
-// fixture is a run with one open request, which the test sends by itself.
+// fixture is a run with one open request, whose attempts the test orders itself.
 type fixture struct {
 	*sim
 	node    *hollowNode
 	request *request
 }
 
-// newFixture plays until the nodes are warm. The request is of the class with
-// an index.
+// newFixture runs past the warm-up and opens a request of the class with the given index at the first node.
 func newFixture(t *testing.T, class int) *fixture {
 	t.Helper()
 	s := parseScenario(t, "", "", "")
-	s.Traffic.Rate = 0.001 // none but the test's
+	s.Traffic.Rate = 0.001 // in effect no requests but the test's
 	m, err := newSim(s)
 	if err != nil {
 		t.Fatal(err)
@@ -236,25 +239,25 @@
 	return f
 }
 
-// advance plays for a time.
+// advance runs the events of the next d.
 func (f *fixture) advance(d time.Duration) { f.run(context.Background(), f.now+d) }
 
-// send makes the node send to the i-th server, as if the balancer had said so.
+// send makes the node send the request to server i, as if the balancer had returned that Send.
 func (f *fixture) send(i int) {
 	id, _ := f.node.endpoints.ID(f.currentServers[i].Name)
 	f.node.apply(balancer.Send{ID: f.request.id, Endpoint: id})
 	f.advance(0)
 }
 
-// sendAndCancel sends to the first server and cancels when the request is
-// there.
+// sendAndCancel sends the request to the first server and cancels the attempt after the request has arrived there.
 func (f *fixture) sendAndCancel() {
 	f.send(0)
 	f.advance(5 * time.Millisecond)
 	f.request.attempts[0].cancel()
 }
 
-// sendToDraining sends to a server that has been listed as draining for long.
+// sendToDraining sends the request to a server that has long been listed as draining. The pool would not send to it,
+// so the node's backends, which are not marked as draining, are pointed to this server.
 func (f *fixture) sendToDraining() {
 	f.setStatus(f.currentServers[0], model.Draining)
 	for v := range f.versionTimes {
@@ -267,7 +270,7 @@
 	f.advance(5 * time.Millisecond)
 }
 
-// overloadWarmingUp makes a server that warms up crash when all nodes know of its start.
+// overloadWarmingUp crashes a server during its warm-up, by overload after all nodes have been notified of its start.
 func (f *fixture) overloadWarmingUp() {
 	sv := f.currentServers[0]
 	f.startServer(sv)
@@ -280,9 +283,10 @@
 	}
 }
 
-// TestViolationsAreReported: what a balancer must not do is reported.
+// TestViolationsAreReported guards against broken rules that the result does not contain: each case makes the node do
+// what a balancer must not order.
 func TestViolationsAreReported(t *testing.T) {
-	const read, save, order = 0, 1, 2 // classes
+	const read, save, order = 0, 1, 2 // indexes of the classes
 	for _, c := range []struct {
 		name  string
 		class int
@@ -310,12 +314,12 @@
 			f.node.apply(balancer.Reject{ID: f.request.id})
 		}, "is refused"},
 		{"drain", read, (*fixture).sendToDraining, "told as draining"},
-		{"late", read, func(f *fixture) {
+		{"late response", read, func(f *fixture) {
 			f.request.clientDeadline = f.now - time.Second
 			f.node.apply(balancer.Fail{ID: f.request.id})
 		}, "late"},
-		{"never", read, func(f *fixture) { f.request.answered = true }, "got no answer"},
-		{"cold", read, (*fixture).overloadWarmingUp, "that were told"},
+		{"no response", read, func(f *fixture) { f.request.answered = true }, "got no answer"},
+		{"crash during warm-up", read, (*fixture).overloadWarmingUp, "that were told"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t, c.class)
@@ -323,13 +327,13 @@
 			f.advance(2 * time.Second)
 			got := strings.Join(f.result().Violations, "\n")
 			if !strings.Contains(got, c.want) {
-				t.Errorf("violations: %q, want %q", got, c.want)
+				t.Errorf("violations: %q, want one that contains %q", got, c.want)
 			}
 		})
 	}
 }
 
-// BenchmarkSecond is a second of 45 nodes, 450 servers and 8,100 requests/s.
+// BenchmarkSecond measures one simulated second of 45 nodes, 450 servers and 8,100 requests/s.
 func BenchmarkSecond(b *testing.B) {
 	s := parseScenario(b, "", "", "")
 	s.Fleet.Nodes, s.Servers.Count, s.Traffic.Rate = 45, 450, 8100
--- a/internal/lab/hollow/measure.go
+++ b/internal/lab/hollow/measure.go
@@ -9,54 +9,55 @@
 )
 
 const (
-	retryBudget            = 0.1  // retries for each arrival, as in package balancer
-	nodeListBytesPerSecond = 3000 // by the operators' plan
+	retryBudget            = 0.1  // retries allowed for each arriving try, as in package balancer
+	nodeListBytesPerSecond = 3000 // bound for each node in the operators' plan
 )
 
 // second counts what happened in one second of the traffic.
 type second struct {
 	tries              int
 	attempts           int
-	retries            int // attempts after one that may have run
+	retries            int // attempts whose predecessor may have been executed
 	handshakes         int
-	sendsToUnavailable int // to servers that are down, lost or cut off
+	sendsToUnavailable int // requests to servers that are down, disconnected or behind a partition
 	ejections          int
-	deadlineResponses  int // given by the node because the balancer had not answered in time
+	deadlineResponses  int // responses by the node because the balancer had not decided in time
 
 	polls     int
 	snapshots int
 	listBytes int
 
-	warmupLoad float64 // worst load of a server that warms up so far, as a fraction of what it survives
+	warmupLoad float64 // highest load so far of a server that warms up, as a fraction of the load that it survives
 }
 
-// measurement is what a run keeps for its result.
+// measurement holds what a run measures for its result.
 type measurement struct {
 	report            *result.Run
 	seconds           []second
-	outsideTraffic    second
+	outsideTraffic    second // before and after the traffic
 	windows           []result.Window
-	latency           []result.Histogram // by class
+	latency           []result.Histogram // of served requests, by class
 	addedLatency      result.Histogram
 	notificationTimes result.Histogram
-	nodeBytes         []int64 // list traffic, by node
+	nodeBytes         []int64 // list traffic in bytes, by node
 	quotas            *setup.Quotas
 	eventLog          []string
 	violations        int
-	heapWithoutNodes  int64 // without nodes
+	heapWithoutNodes  int64 // bytes, before the nodes are created
 
-	// The balancers' processor time, and the number of their events.
+	// The time that the balancers took, on the wall clock, and the number of events that they handled.
 	balancerTime   time.Duration
 	balancerEvents int
 
 	atWarmupEnd counters
 }
 
-// counters are totals that are measured from the end of the warm-up.
+// counters are totals since the start of the run. The result contains their increase from the end of the warm-up
+// to the end of the traffic.
 type counters struct {
-	versions       int
-	work           time.Duration // of all servers
-	wasted         time.Duration
+	versions       int           // of the list
+	work           time.Duration // done by all servers
+	wasted         time.Duration // part of work whose result no client got
 	balancerTime   time.Duration
 	balancerEvents int
 }
@@ -78,7 +79,7 @@
 	return x
 }
 
-// currentSecond is the present second of the traffic.
+// currentSecond returns the counts of the present second of the traffic, or outsideTraffic.
 func (m *sim) currentSecond() *second {
 	if i := int((m.now - m.trafficStart) / time.Second); m.now >= m.trafficStart && i < len(m.seconds) {
 		return &m.seconds[i]
@@ -86,7 +87,7 @@
 	return &m.outsideTraffic
 }
 
-// isMeasured reports whether a time is in the traffic and after the warm-up.
+// isMeasured reports whether a time is after the warm-up and before the end of the traffic.
 func (m *sim) isMeasured(at time.Duration) bool {
 	return at >= m.trafficStart+m.scenario.Warmup.Std() && at < m.trafficStart+m.scenario.Length.Std()
 }
@@ -98,17 +99,17 @@
 	}
 }
 
-// windowOf is the second in which a client's first try was to be sent.
+// windowOf returns the window of the second in which a client's first try was due.
 func (m *sim) windowOf(c *client) *result.Window {
 	return &m.windows[int(c.arrival.At/time.Second)]
 }
 
-// tally is where a client's request counts.
+// tally returns the tally that counts a client's request.
 func (m *sim) tally(c *client) setup.Tally {
 	return setup.NewTally(m.windowOf(c), &m.report.Requests, c.measured)
 }
 
-// recordOffered counts a request when it is to be sent.
+// recordOffered counts a request when its first try is due, and takes a token of its tenant's quota.
 func (m *sim) recordOffered(c *client) {
 	if tenant := c.arrival.Tenant; tenant >= 0 {
 		c.withinQuota = m.quotas.Take(tenant, m.now)
@@ -116,7 +117,7 @@
 	m.tally(c).CountOffered(c.class.Class, c.withinQuota)
 }
 
-// recordFinal counts how a request ended.
+// recordFinal counts a request by its final outcome.
 func (m *sim) recordFinal(c *client, outcome tryOutcome) {
 	tally := m.tally(c)
 	switch outcome {
@@ -133,8 +134,8 @@
 	}
 }
 
-// recordAddedLatency measures what the node added to a served try: its time at the
-// node, less the way to the server, the time there and the way back.
+// recordAddedLatency measures the latency that the node added to a served try: the time at the node, less the
+// network delays to and from the server and the time at the server.
 func (m *sim) recordAddedLatency(a *attempt) {
 	if a.request.client.measured {
 		network := (a.arrivedAt - a.writtenAt) + (m.now - a.repliedAt)
@@ -142,7 +143,7 @@
 	}
 }
 
-// recordAttempt counts a send.
+// recordAttempt counts an attempt, also as a retry and as cross-zone or cross-region traffic.
 func (m *sim) recordAttempt(a *attempt) {
 	c := a.request.client
 	m.currentSecond().attempts++
@@ -170,7 +171,7 @@
 	}
 }
 
-// counters reads the present totals.
+// counters returns the present totals.
 func (m *sim) counters() counters {
 	c := counters{versions: len(m.versionTimes), balancerTime: m.balancerTime, balancerEvents: m.balancerEvents}
 	for _, sv := range m.servers {
@@ -181,10 +182,10 @@
 	return c
 }
 
-// endWarmup begins what is measured from the end of the warm-up.
+// endWarmup saves the totals at the end of the warm-up.
 func (m *sim) endWarmup() { m.atWarmupEnd = m.counters() }
 
-// endTraffic ends what is measured up to the end of the traffic.
+// endTraffic reports the increase of the totals from the end of the warm-up to the end of the traffic.
 func (m *sim) endTraffic() {
 	from := m.atWarmupEnd
 	to := m.counters()
@@ -208,7 +209,7 @@
 	m.report.Added = m.addedLatency.Latency()
 }
 
-// reportControl sums up the list traffic.
+// reportControl adds the list traffic to the report.
 func (m *sim) reportControl() {
 	c := &m.report.Control
 	for _, bytes := range m.nodeBytes {
@@ -219,7 +220,7 @@
 	c.Notification = m.notificationTimes.Latency()
 }
 
-// reportPeaks finds the worst seconds after the warm-up, and sums up the polls.
+// reportPeaks finds the worst second after the warm-up for each quantity, and sums up the polls.
 func (m *sim) reportPeaks() {
 	peaks := map[string]result.Peak{}
 	for i, s := range m.seconds {
@@ -240,9 +241,9 @@
 	m.report.Peaks = peaks
 }
 
-// quantity is a sum over the fleet in one second, with its bound; 0: none.
+// quantity is a figure of the whole fleet for one second, with its bound; a bound of 0 means none.
 type quantity struct {
-	name  string // its key in results
+	name  string // key in the JSON result
 	value float64
 	bound float64
 }
--- a/internal/lab/hollow/network.go
+++ b/internal/lab/hollow/network.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// reachable reports whether messages pass between two zones.
+// reachable reports whether no partition in force separates two zones.
 func (m *sim) reachable(a, b int) bool {
 	for _, inside := range m.partitions {
 		if inside != nil && inside[a] != inside[b] {
@@ -12,13 +12,13 @@
 	return true
 }
 
-// delay draws the time one way between two zones.
+// delay draws the one-way delay between two zones.
 func (m *sim) delay(from, to int) time.Duration {
 	return m.delays[from][to] + time.Duration(m.rng.ExpFloat64()*float64(m.scenario.Network.Jitter))
 }
 
-// dialDelay draws the time of the answer to a connection request, some of which
-// are late.
+// dialDelay draws the delay of the answer to a connection request. The fraction LateDials of the answers is
+// late, by up to LateBy.
 func (m *sim) dialDelay(from, to int) time.Duration {
 	network := m.scenario.Network
 	delay := m.delay(from, to)
@@ -28,31 +28,32 @@
 	return delay
 }
 
-// outage is a time in which nodes learn nothing of the list.
+// outage is a period in which nodes learn of no changes to the list.
 type outage struct {
 	from   time.Duration
 	to     time.Duration
-	inside []bool // by zone, whose nodes are affected; nil: all
+	inside []bool // by zone: whether its nodes are affected; nil: all are
 }
 
 func (o outage) affects(zone int, at time.Duration) bool {
 	return at >= o.from && at < o.to && (o.inside == nil || o.inside[zone])
 }
 
-// notifiedAt is when a version counts as notified to a node: when its agent has
-// it or, where nodes request lists, when the node does.
+// notifiedAt returns when a version counts as notified to a node: when the node's agent has it or, on demand,
+// when the node has applied it. On demand, a version that the node has not applied counts as notified
+// failedPolls poll intervals after it was published.
 func (m *sim) notifiedAt(n *hollowNode, version uint64) time.Duration {
 	if m.scenario.Discovery.OnDemand {
 		if n.version >= version {
 			return n.observedAt(version)
 		}
-		const failedPolls = 4 // without a watch, polls may fail before one succeeds
+		const failedPolls = 4 // without a watch, so many polls may fail before one succeeds
 		return m.versionTimes[version] + failedPolls*m.scenario.Discovery.PollInterval.Std()
 	}
 	return max(m.afterOutages(n.zone, m.versionTimes[version]+m.registry.Delay(n.index)), n.startedAt)
 }
 
-// afterOutages is the first time, not before at, in no outage of a zone.
+// afterOutages returns the first time from at on that is in no outage of the zone.
 func (m *sim) afterOutages(zone int, at time.Duration) time.Duration {
 	for again := true; again; {
 		again = false
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	maxKillDelay       = 3 * time.Second        // SIGKILL waits for the longest deadline, counted as at most this,
-	killSlack          = 700 * time.Millisecond // and this on top, by the protocol's page
-	lastResponseMargin = 300 * time.Millisecond // before SIGKILL all answers are given, as in package node
+	maxKillDelay       = 3 * time.Second        // SIGKILL comes after the longest deadline, counted as at most this,
+	killSlack          = 700 * time.Millisecond // plus this, as the protocol page specifies
+	lastResponseMargin = 300 * time.Millisecond // from the last response to SIGKILL, as in package node
 )
 
-// hollowNode is one incarnation of a hollow node, from a start to its end.
+// hollowNode is one incarnation of a hollow node, from its start to its end.
 type hollowNode struct {
 	sim         *sim
 	index       int
@@ -34,28 +34,28 @@
 
 	startedAt      time.Duration
 	diedAt         time.Duration
-	ready          bool // it has had an endpoint
+	ready          bool // an endpoint has been listed since the start
 	dead           bool
-	draining       bool          // it shuts down in order
-	responsesDueBy time.Duration // draining: when all requests are answered; 0: not draining
+	draining       bool          // a graceful shutdown is under way
+	responsesDueBy time.Duration // while draining: the latest deadline of all requests; 0: not draining
 
 	endpoints    discovery.Directory
 	watcher      *discovery.Watcher
-	poll         discovery.Poll // under way
-	callID       uint64         // the registry's id of its present request; 0: none is under way
-	nextPollAt   time.Duration  // when the watcher is consulted next
-	version      uint64         // newest version observed
+	poll         discovery.Poll // the last one started
+	callID       uint64         // the registry's ID of the poll's request in flight; 0: none
+	nextPollAt   time.Duration  // when startPoll is called next; discovery.Never: not scheduled
+	version      uint64         // newest version of the list that the node has applied
 	observations []observation
 }
 
-// observation is when a node applied a version of the list.
+// observation records when a node applied a version of the list.
 type observation struct {
 	version uint64
 	at      time.Duration
 }
 
 func newHollowNode(m *sim, index, incarnation int, cfg node.Config) *hollowNode {
-	const watcherStream = 1 // of the node's seed
+	const watcherStream = 1 // stream of randomness derived from the node's seed
 	n := &hollowNode{
 		sim:         m,
 		index:       index,
@@ -73,7 +73,7 @@
 	return n
 }
 
-// start starts the node, as node.Run does: the list that it knows comes first.
+// start starts the node as node.Run does: it applies the list in the configuration before it polls discovery.
 func (n *hollowNode) start() {
 	n.startedAt = n.sim.now
 	if n.dead {
@@ -85,7 +85,7 @@
 	n.startPoll()
 }
 
-// available reports whether the node takes requests.
+// available reports whether the node takes new requests.
 func (n *hollowNode) available() bool { return !n.dead && !n.draining && n.ready }
 
 // schedule calls do at a time, unless the node has died by then.
@@ -97,12 +97,12 @@
 	})
 }
 
-// handle gives the balancer an event and applies its actions in order. Events
-// that come of actions are handled after it.
+// handle passes an event to the balancer and applies the resulting actions in order. Events that the actions
+// cause are handled afterwards.
 func (n *hollowNode) handle(e balancer.Event) {
 	n.pendingEvents = append(n.pendingEvents, e)
 	if len(n.pendingEvents) > 1 {
-		return // a caller further up the stack handles it
+		return // the call of handle further up the stack handles it
 	}
 	for len(n.pendingEvents) > 0 {
 		for _, action := range n.callBalancer(n.pendingEvents[0]) {
@@ -113,8 +113,8 @@
 	n.pendingEvents = nil
 }
 
-// callBalancer measures the balancer's time for an event. Its clock is the
-// machine's wall clock.
+// callBalancer passes an event to the balancer and measures how long it takes. The event's time is the machine's
+// simulated wall clock, as Unix time.
 func (n *hollowNode) callBalancer(e balancer.Event) []balancer.Action {
 	began := time.Now()
 	actions := n.balancer.Handle(epoch+n.sim.now, e)
@@ -173,7 +173,7 @@
 		}
 		if !r.answered {
 			r.answered = true
-			r.client.tryEnded(tryFailed, 0) // its connection is reset
+			r.client.tryEnded(tryFailed, 0) // the client's connection is reset
 		}
 	}
 	n.requests = nil
@@ -185,14 +185,14 @@
 	m := n.sim
 	next, err := m.newNode(n.index, n.incarnation+1, m.knownList())
 	if err != nil {
-		panic(fmt.Sprintf("hollow: a configuration that was accepted before: %v", err))
+		panic(fmt.Sprintf("hollow: restart of node %d: configuration rejected, unlike an earlier one: %v", n.index, err))
 	}
 	m.nodes[n.index] = next
 	next.start()
 }
 
-// shutDown ends the node in order: clients go to other nodes at once, and
-// accepted requests are answered before it is killed.
+// shutDown stops the node gracefully: new tries go to other nodes at once, and open requests are answered before
+// the node is killed.
 func (n *hollowNode) shutDown() {
 	if n.dead || n.draining {
 		return
@@ -214,8 +214,7 @@
 	m.schedule(killAt, n.kill)
 }
 
-// sortedRequests is the node's open requests in an order that is the same in
-// each run.
+// sortedRequests returns the node's open requests sorted by ID, so that their order is the same in each run.
 func (n *hollowNode) sortedRequests() []*request {
 	return slices.SortedFunc(maps.Values(n.requests), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
 }
--- a/internal/lab/hollow/poll.go
+++ b/internal/lab/hollow/poll.go
@@ -9,14 +9,15 @@
 	"bankshift/internal/lab/model"
 )
 
-// requestOverhead is what a request to discovery transfers besides the query
-// and the body: the headers that net/http writes. Source: a real node with 60
-// servers makes 4 idle calls a second for 1.18 KB/s, 295 bytes a call, of which
-// the body {"index":1,"snapshot":false,"endpoints":[]} takes 45.
+// requestOverhead is the number of bytes that a request to discovery transfers
+// besides the query and the body: the headers that net/http writes. A real node
+// with 60 servers makes 4 idle requests per second and transfers 1.18 KB/s, that
+// is 295 bytes per request, of which the response body
+// {"index":1,"snapshot":false,"endpoints":[]} takes 45.
 const requestOverhead = 250
 
-// applyUpdate takes a list: connections for the pool, the rest for the
-// balancer.
+// applyUpdate applies a list. The pool adds and changes backends before the balancer handles the update, and
+// removes backends after it.
 func (n *hollowNode) applyUpdate(l discovery.List, kind balancer.UpdateKind) {
 	update, changes := n.endpoints.Apply(l, kind)
 	for _, c := range changes {
@@ -34,8 +35,8 @@
 	n.observe(l.Version)
 }
 
-// observe records when the node applied the versions up to one. Those made
-// before its start do not count as notifications.
+// observe records that the node has now applied all versions up to the given one. Versions published before the
+// node's start do not count as notifications.
 func (n *hollowNode) observe(version uint64) {
 	m := n.sim
 	for v := n.version + 1; v <= version; v++ {
@@ -49,7 +50,7 @@
 	}
 }
 
-// observedAt is when the node applied a version, or one after it.
+// observedAt returns when the node applied a version or a later one, discovery.Never if it has not.
 func (n *hollowNode) observedAt(version uint64) time.Duration {
 	for _, o := range n.observations {
 		if o.version >= version {
@@ -59,7 +60,8 @@
 	return discovery.Never
 }
 
-// startPoll starts the poll that is due, or schedules itself for when one is.
+// startPoll starts the poll that is due, with its hedged requests and its timeout. If none is due, it schedules
+// itself for the time of the next one.
 func (n *hollowNode) startPoll() {
 	m := n.sim
 	poll, at, ok := n.watcher.Next(m.now)
@@ -85,6 +87,7 @@
 	})
 }
 
+// startPollAt schedules startPoll, in place of a call that is already scheduled for another time.
 func (n *hollowNode) startPollAt(at time.Duration) {
 	if at == discovery.Never || at == n.nextPollAt {
 		return
@@ -98,11 +101,11 @@
 	})
 }
 
-// polling reports whether a poll is under way.
+// polling reports whether the given poll is in flight.
 func (n *hollowNode) polling(poll discovery.Poll) bool { return n.callID != 0 && n.poll == poll }
 
-// sendPoll sends a request of a poll. Here the next request replaces the one
-// before, where a real node's is sent beside it.
+// sendPoll sends one request of a poll. In this model a hedged request replaces the request before it, while a
+// real node keeps both in flight.
 func (n *hollowNode) sendPoll(poll discovery.Poll, hold time.Duration) {
 	m := n.sim
 	n.callID = m.registry.Call(m.now, n.index, poll.FromVersion, hold)
@@ -126,14 +129,14 @@
 	n.continuePolling()
 }
 
-// continuePolling starts the next poll unless one is under way.
+// continuePolling starts the next poll unless one is in flight.
 func (n *hollowNode) continuePolling() {
 	if n.callID == 0 {
 		n.startPoll()
 	}
 }
 
-// pollEnded takes discovery's response.
+// pollEnded handles discovery's response, or its failure, unless the request has been canceled.
 func (n *hollowNode) pollEnded(response model.Response) {
 	m := n.sim
 	if n.dead || response.CallID != n.callID {
@@ -161,7 +164,8 @@
 	n.continuePolling()
 }
 
-// requestPoll passes the balancer's wish for a list to the watcher.
+// requestPoll passes the balancer's request for the full list or for changes to the watcher, and cancels the poll
+// in flight if its result no longer counts.
 func (n *hollowNode) requestPoll(fetch, watch bool) {
 	if n.watcher.Request(n.sim.now, fetch, watch) {
 		n.cancelPoll()
@@ -169,7 +173,7 @@
 	n.schedule(n.sim.now, n.continuePolling)
 }
 
-// decode reads a list, once for all nodes that get the same one in succession.
+// decode decodes a list. Nodes that receive the same bytes in succession share the result.
 func (m *sim) decode(body []byte) (discovery.List, error) {
 	if len(m.decodedBody) > 0 && len(body) > 0 && &m.decodedBody[0] == &body[0] {
 		return m.decodedList, nil
--- a/internal/lab/hollow/pool.go
+++ b/internal/lab/hollow/pool.go
@@ -13,35 +13,35 @@
 type pool struct {
 	node     *hollowNode
 	open     int // connections that are idle, in use or being dialled
-	limit    int // of open
+	limit    int // maximum of open
 	maxIdle  time.Duration
 	backends map[balancer.EndpointID]*backend
-	dialled  []*backend // that have had connections, in the order of their first
+	dialled  []*backend // backends that have been dialled, in the order of their first dial
 }
 
-// backend is one process of a server, as the node knows it.
+// backend is one process of a server as the node knows it. A listed restart makes a new backend.
 type backend struct {
 	server      *server
-	startedAtMS int64 // as listed
-	closed      bool  // it left the list, or was replaced by its next process
-	draining    bool
-	dialled     bool    // it is in pool.dialled
-	idle        []*conn // the one used last comes last
+	startedAtMS int64   // start in the list, Unix time in ms
+	closed      bool    // the server left the list, or its next process is listed
+	draining    bool    // the backend is listed as draining
+	dialled     bool    // the backend has been added to pool.dialled
+	idle        []*conn // most recently used last
 	busy        []*conn
 }
 
 // conn is an established connection.
 type conn struct {
-	model          *model.Conn // nil: over the server's limit, so that its first request is rejected
+	model          *model.Conn // nil: over the server's limit of connections, so its first request is rejected
 	backend        *backend
 	pool           *pool
 	connectedAt    time.Duration
 	idleSince      time.Duration
-	handshakeDelay time.Duration // of the first request; 0 after it
-	lastArrival    time.Duration // of a request at the server: a close does not overtake it
+	handshakeDelay time.Duration // added to the first request's delay; 0 for later requests
+	lastArrival    time.Duration // of a request at the server; a close arrives no earlier
 }
 
-// defaultMaxIdle is the idle timeout where the settings have none.
+// defaultMaxIdle is maxIdle where the settings contain no idle timeout.
 const defaultMaxIdle = time.Minute
 
 func newPool(n *hollowNode, limit int) pool {
@@ -52,8 +52,8 @@
 	return p
 }
 
-// set adds a backend or updates it. A changed start means a new process, to
-// which no connection is kept.
+// set adds a backend or updates it. A changed start means a new process; connections to the old one are closed
+// once they are idle.
 func (p *pool) set(id balancer.EndpointID, sv *server, startedAtMS int64, draining bool) {
 	if b := p.backends[id]; b != nil {
 		if b.startedAtMS == startedAtMS {
@@ -91,8 +91,7 @@
 	b.idle = nil
 }
 
-// scheduleExpiry closes connections that have been idle for too long, at
-// intervals.
+// scheduleExpiry closes connections that have been idle for maxIdle, and repeats this at intervals.
 func (p *pool) scheduleExpiry() {
 	const (
 		checksPerTimeout = 8
@@ -117,8 +116,8 @@
 	b.idle = slices.Delete(b.idle, 0, expired)
 }
 
-// take returns an idle connection to a backend that can carry a request, nil
-// if there is none. It closes those that it finds unusable.
+// take returns the most recently used idle connection to a backend that can carry a request, nil if there is
+// none. It closes the connections that it finds unusable.
 func (p *pool) take(b *backend) *conn {
 	now := p.node.sim.now
 	for i := len(b.idle) - 1; i >= 0; i-- {
@@ -136,8 +135,8 @@
 	return nil
 }
 
-// reserve makes room for one more connection. It returns false at the limit
-// with no idle connection to evict.
+// reserve counts one more open connection. At the limit it first evicts an idle connection, and returns false if
+// there is none.
 func (p *pool) reserve() bool {
 	if p.open >= p.limit && !p.evict() {
 		return false
@@ -146,7 +145,7 @@
 	return true
 }
 
-// evict closes the connection that has been idle longest, if there is one.
+// evict closes the connection that has been idle longest, and reports whether there was one.
 func (p *pool) evict() bool {
 	var oldest *backend
 	for _, b := range p.dialled {
@@ -162,7 +161,7 @@
 	return true
 }
 
-// markDialled records that a backend has, or will have, connections.
+// markDialled adds a backend that is about to be dialled to the pool's list.
 func (p *pool) markDialled(b *backend) {
 	if !b.dialled {
 		b.dialled = true
@@ -181,22 +180,22 @@
 	}
 }
 
-// looksOpen reports whether the node can see nothing wrong with an idle
-// connection: one to a vanished machine stays open.
+// looksOpen reports whether an idle connection looks open to the node. The node cannot see that a machine has been
+// disconnected or is behind a partition, so connections to such a machine look open.
 func (c *conn) looksOpen() bool {
 	m := c.pool.node.sim
 	sv := c.backend.server
 	return c.model.Open(m.now) || c.connectedAt <= sv.disconnectedAt || !m.reachable(c.pool.node.zone, sv.zone)
 }
 
-// close ends a connection that is in none of its backend's lists.
+// close closes a connection. The caller removes it from its backend's lists.
 func (c *conn) close() {
 	c.pool.open--
 	c.closeAtServer()
 }
 
-// closeAtServer closes the server's side of the connection, when the close
-// arrives there.
+// closeAtServer closes the server's side of the connection when the close arrives there; a partition at that time
+// drops it.
 func (c *conn) closeAtServer() {
 	if c.model == nil {
 		return
@@ -224,8 +223,8 @@
 	c.close()
 }
 
-// release returns a connection in use to the idle ones, or closes it where its
-// backend takes no more requests.
+// release makes a connection in use idle, or closes it if its backend takes no more requests or the server has
+// rejected the connection.
 func (c *conn) release() {
 	c.removeFromBusy()
 	if c.backend.closed || c.backend.draining || c.model == nil {
--- a/internal/lab/hollow/request.go
+++ b/internal/lab/hollow/request.go
@@ -7,21 +7,20 @@
 	"bankshift/internal/node"
 )
 
-// request is a client's try at a node, until it is answered and its attempts
-// have ended.
+// request is a client's try as its node handles it, until it is answered and its attempts have ended.
 type request struct {
 	id             balancer.RequestID
 	client         *client
 	class          *class
-	deadline       time.Duration // of the node
-	clientDeadline time.Duration
+	deadline       time.Duration // by which the node responds
+	clientDeadline time.Duration // by which the client needs a response
 	arrivedAt      time.Duration
 	attempts       []*attempt
 	inFlight       int // attempts that have not ended
 	answered       bool
 }
 
-// accept takes a client's try.
+// accept passes a client's try to the balancer, or rejects it if too many requests are open.
 func (n *hollowNode) accept(r *request, e balancer.RequestArrived) {
 	m := n.sim
 	r.arrivedAt = m.now
@@ -39,8 +38,8 @@
 	n.handle(e)
 }
 
-// endOverdue has the balancer end a request whose deadline has passed without a
-// decision.
+// endOverdue has the balancer end a request whose deadline has passed, and fails the request if the balancer does
+// not end it.
 func (n *hollowNode) endOverdue(r *request) {
 	if !r.answered {
 		n.handle(balancer.DeadlineExceeded{ID: r.id})
@@ -48,7 +47,7 @@
 	n.endUnanswered(r)
 }
 
-// endUnanswered fails a request, if it is not answered, without the balancer.
+// endUnanswered fails a request that is not answered, without a decision of the balancer.
 func (n *hollowNode) endUnanswered(r *request) {
 	if r.answered {
 		return
@@ -62,8 +61,7 @@
 	n.handle(balancer.RequestAbandoned{ID: r.id})
 }
 
-// respond gives a try its final respond, once; later ones are ignored. Attempts
-// that have not been written are cancelled.
+// respond sends a try's final response; later ones are ignored. Attempts that have not been written are canceled.
 func (n *hollowNode) respond(id balancer.RequestID, outcome tryOutcome, retryAfter time.Duration) {
 	r := n.requests[id]
 	if r == nil || r.answered {
@@ -80,14 +78,15 @@
 	n.removeIfDone(r)
 }
 
-// removeIfDone drops a request that is answered and has no attempt in flight.
+// removeIfDone removes a request that is answered and has no attempt in flight.
 func (n *hollowNode) removeIfDone(r *request) {
 	if r.answered && r.inFlight == 0 {
 		delete(n.requests, r.id)
 	}
 }
 
-// send carries out the balancer's Send.
+// send carries out the balancer's Send. It makes no attempt if the request is answered, or if another attempt is in
+// flight and hedging is not allowed.
 func (n *hollowNode) send(s balancer.Send) {
 	m := n.sim
 	r := n.requests[s.ID]
@@ -107,7 +106,7 @@
 	n.schedule(m.now, a.start)
 }
 
-// rejectAttempt ends an attempt that must not be made.
+// rejectAttempt reports an attempt that must not be made to the balancer as not sent.
 func (n *hollowNode) rejectAttempt(a *attempt) {
 	r := a.request
 	a.state = attemptOver
@@ -123,7 +122,7 @@
 	})
 }
 
-// attemptEnded reports the end of an attempt to the balancer.
+// attemptEnded handles the end of an attempt: a good response goes to the client before the balancer gets the event.
 func (n *hollowNode) attemptEnded(a *attempt) {
 	r := a.request
 	r.inFlight--
--- a/internal/lab/hollow/rules.go
+++ b/internal/lab/hollow/rules.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	maxViolations = 20                    // described one by one
-	socketSlack   = 50 * time.Millisecond // of times that pass through sockets
-	responseSlack = 70 * time.Millisecond // of an answer past its deadline: 20 ms of the settings, and socketSlack
+	maxViolations = 20                    // described in the result; further ones are only counted
+	socketSlack   = 50 * time.Millisecond // tolerance for the time that messages take through sockets
+	responseSlack = 70 * time.Millisecond // tolerance past a response's deadline: 20 ms of the settings plus socketSlack
 
-	// notifiedFraction of what crashed a server that warms up, from nodes notified of
-	// its start, is a violation.
+	// A crash of a server that warms up is a violation if at least notifiedFraction of the messages that crashed it
+	// came from nodes that had been notified of its start.
 	notifiedFraction = 2.0 / 3
 )
 
-// recordViolation records that a rule was broken.
+// recordViolation adds a broken rule to the report, with its time since the start of the traffic.
 func (m *sim) recordViolation(format string, args ...any) {
 	m.violations++
 	if m.violations <= maxViolations {
@@ -26,8 +26,7 @@
 	}
 }
 
-// checkSend checks a send against the rules, given the request's earlier
-// attempts.
+// checkSend checks an attempt against the rules, given the request's earlier attempts.
 func (m *sim) checkSend(a *attempt, earlier []*attempt) {
 	r := a.request
 	if r.answered {
@@ -41,7 +40,7 @@
 	}
 }
 
-// checkRepeat checks that an attempt may follow an earlier one.
+// checkRepeat checks that an attempt may be made after an earlier one of the same request.
 func (m *sim) checkRepeat(a, earlier *attempt) {
 	r := a.request
 	b := a.node.pool.backends[a.endpoint]
@@ -56,7 +55,7 @@
 	}
 }
 
-// leavesScope reports whether two servers do not share the keys of a scope.
+// leavesScope reports whether two servers do not share the idempotency keys of a scope.
 func leavesScope(scope string, from, to *server) bool {
 	switch scope {
 	case scenario.ScopeZone:
@@ -67,7 +66,8 @@
 	return false
 }
 
-// checkFirstByte checks a request's first byte against the rules on time.
+// checkFirstByte checks the time of a request's first byte: a repeat must be within the key's window, and a server
+// that is listed as draining or removed gets no request after the drain grace.
 func (m *sim) checkFirstByte(a *attempt, sv *server) {
 	r := a.request
 	window := r.class.KeyWindow
@@ -87,7 +87,8 @@
 	}
 }
 
-// checkRejection checks that another try of a rejected request does no harm.
+// checkRejection checks that another try of a rejected request does no harm: no attempt may have been executed
+// unless the request may be repeated at any server.
 func (m *sim) checkRejection(r *request) {
 	if r.class.RepeatableAnywhere() {
 		return
@@ -100,15 +101,15 @@
 	}
 }
 
-// checkResponseTime checks that an answer is in time.
+// checkResponseTime checks that a response comes by the client's deadline, with a tolerance.
 func (m *sim) checkResponseTime(r *request) {
 	if m.now > r.clientDeadline+responseSlack {
 		m.recordViolation("%s is answered %v late", r.id, m.now-r.clientDeadline)
 	}
 }
 
-// checkWarmupLoad records a message that reaches a server, and checks who caused
-// it if the server crashed under it.
+// checkWarmupLoad records a message that reaches a server that warms up. If the server crashed under the message, it
+// checks whether nodes that knew of the start caused the crash.
 func (m *sim) checkWarmupLoad(sv *server, n *hollowNode) {
 	if sv.startVersion == 0 || m.now >= sv.startedAt+m.scenario.Servers.WarmupTime.Std() {
 		return
@@ -136,7 +137,7 @@
 	}
 }
 
-// recordWarmupSend adds a message to those of the last CrashWindow.
+// recordWarmupSend adds a message to the server's warmupSends and removes those before the last CrashWindow.
 func (m *sim) recordWarmupSend(sv *server, n *hollowNode) {
 	expired := 0
 	for expired < len(sv.warmupSends) && sv.warmupSends[expired].at <= m.now-m.scenario.Servers.CrashWindow.Std() {
--- a/internal/lab/hollow/server.go
+++ b/internal/lab/hollow/server.go
@@ -16,25 +16,25 @@
 	scenario.Server
 	zone     int
 	model    *model.Server
-	wakeAt   time.Duration       // when the model is advanced next
-	inFlight map[uint64]*attempt // accepted by the model, by model.Work.ID
+	wakeAt   time.Duration       // when the model is advanced next; discovery.Never: not scheduled
+	inFlight map[uint64]*attempt // attempts whose request the model has accepted, by model.Work.ID
 
 	entry           model.Entry
-	startedAt       time.Duration // the start that is listed
-	notReadyVersion uint64        // the version that lists it as draining or removed; 0: it is ready
-	startVersion    uint64        // the version that lists its last start; 0: none
-	disconnectedAt  time.Duration // when its machine vanished last; below 0: never
-	crashes         int
-	warmupSends     []warmupSend // within the last CrashWindow while it warms up
+	startedAt       time.Duration // process start that the list contains
+	notReadyVersion uint64        // version of the list that made it draining or removed; 0: it is ready
+	startVersion    uint64        // version of the list with its last start; 0: none
+	disconnectedAt  time.Duration // when its machine was disconnected last; negative: never
+	crashes         int           // crashes that checkWarmupLoad has counted
+	warmupSends     []warmupSend  // messages within the last CrashWindow while it warms up
 }
 
-// warmupSend is a message that reached a server that warms up.
+// warmupSend is a message that reached a server during its warm-up.
 type warmupSend struct {
 	at       time.Duration
-	notified bool // its node had been notified of the start
+	notified bool // the sending node had been notified of the server's start
 }
 
-// buildServers makes the scenario's servers and publishes them as one version.
+// buildServers creates the scenario's servers and publishes them as one version of the list.
 func (m *sim) buildServers() {
 	var entries []model.Entry
 	for i := range m.scenario.Servers.Count {
@@ -46,7 +46,7 @@
 	m.publish(entries...)
 }
 
-// newServer makes a server that is warm and not listed yet.
+// newServer creates a server that is warm and not listed yet.
 func (m *sim) newServer(i int) *server {
 	description := m.scenario.Server(i)
 	config := setup.ServerConfig(m.scenario, description, &m.keyStores)
@@ -65,16 +65,16 @@
 	return sv
 }
 
-// publish makes a new version of the list from changed entries.
+// publish publishes changed entries as a new version of the list.
 func (m *sim) publish(entries ...model.Entry) {
 	if err := m.registry.Change(m.now, entries...); err != nil {
-		panic(err) // the entries are the lab's own
+		panic(err) // Change fails only for invalid entries, and the lab makes these itself
 	}
 	m.versionTimes = append(m.versionTimes, m.now)
 	m.wakeRegistry()
 }
 
-// setStatus publishes a server with a status.
+// setStatus publishes a new status of a server.
 func (m *sim) setStatus(sv *server, status string) {
 	sv.entry.Status = status
 	m.publish(sv.entry)
@@ -84,8 +84,8 @@
 	}
 }
 
-// startServer starts a server's process, which warms up, and publishes the start. A
-// server that has been replaced meanwhile stays away.
+// startServer starts a server's process, which warms up, and publishes the start. It does not start a server that
+// has been replaced in the meantime.
 func (m *sim) startServer(sv *server) {
 	if sv.entry.Status == model.Removed {
 		return
@@ -95,7 +95,7 @@
 	m.publishStart(sv)
 }
 
-// publishStart publishes the model's last start, if it is not listed yet.
+// publishStart publishes the last start of the server's process, unless the list contains it already.
 func (m *sim) publishStart(sv *server) {
 	at, ok := sv.model.Started()
 	if !ok || at == sv.startedAt && sv.startVersion > 0 {
@@ -108,7 +108,7 @@
 	sv.startVersion = m.registry.Version()
 }
 
-// wakeServer schedules the server's model to be advanced when it has an event.
+// wakeServer schedules the server's model to be advanced at the time of its next event.
 func (m *sim) wakeServer(sv *server) {
 	at, ok := sv.model.Next()
 	if !ok || at >= sv.wakeAt {
@@ -131,7 +131,7 @@
 	})
 }
 
-// wakeRegistry schedules discovery's model to be advanced when it has an event.
+// wakeRegistry schedules discovery's model to be advanced at the time of its next event.
 func (m *sim) wakeRegistry() {
 	at, ok := m.registry.Next()
 	if !ok || at >= m.registryWake {
@@ -150,7 +150,7 @@
 	})
 }
 
-// knownList is the present list, as a node's configuration contains it.
+// knownList returns the present list in the form in which a node's configuration contains it.
 func (m *sim) knownList() []byte {
 	var entries []model.Entry
 	for _, sv := range m.servers {
@@ -161,8 +161,8 @@
 	return model.EncodeSnapshot(m.registry.Version(), entries)
 }
 
-// replaceServer drains a server, ends it after twice the drain grace, and
-// starts its successor, under a new name, in its place.
+// replaceServer drains a server, kills it after twice the drain grace, and starts its successor in the same slot
+// under a new name.
 func (m *sim) replaceServer(sv *server, slot int) {
 	m.setStatus(sv, model.Draining)
 	m.schedule(m.now+2*m.scenario.Discovery.DrainGrace.Std(), func() {
--- a/internal/lab/hollow/sim.go
+++ b/internal/lab/hollow/sim.go
@@ -20,67 +20,67 @@
 )
 
 const (
-	// settleTime is from the last node's start to the traffic, for the first
-	// lists and the first timers.
+	// settleTime is the time from the last node's start to the start of the traffic. In that time nodes
+	// receive their first lists and their first timers fire.
 	settleTime = time.Second
 
-	// epoch is the machines' clock at the start of a run, as Unix time. Lists
-	// contain starts by this clock, and 0 there means long ago.
+	// epoch is the Unix time of the machines' clocks at the start of a run. Lists contain the servers' starts by
+	// these clocks, and a start of 0 means long ago.
 	epoch = 1_700_000_000 * time.Second
 )
 
-// sim is one run. Everything in it happens on one goroutine, except for the
-// reading of configurations in buildNodes.
+// sim is the state of one run. Everything runs on one goroutine, except that buildNodes reads the configurations on
+// several.
 type sim struct {
 	scenario *scenario.Scenario
-	rng      *rand.Rand // of the network and the clients
+	rng      *rand.Rand // for network delays and clients' backoff
 
-	// Clock. Times count from the run's start, as the models' do.
+	// Clock. All times are since the start of the run, as in package model.
 	now          time.Duration
-	firstStart   time.Duration // of the nodes: discovery has published the servers by then
+	firstStart   time.Duration // first start of a node; discovery has published the servers by then
 	trafficStart time.Duration
 	events       eventQueue
 	eventSeq     uint64
 
 	// Network
-	zoneOf     map[string]int    // index of a zone, by name
-	delays     [][]time.Duration // between zones
-	partitions [][]bool          // by partition and zone: those inside; nil while it is not in force
-	outages    []outage          // of what nodes learn
+	zoneOf     map[string]int    // index of each zone, by name
+	delays     [][]time.Duration // one way between zones, without jitter
+	partitions [][]bool          // by partition and zone: whether the zone is inside; nil: the partition is not in force
+	outages    []outage          // periods in which nodes learn of no changes to the list
 
 	// Servers and discovery
 	byName         map[string]*server
-	servers        []*server // all there ever were
-	currentServers []*server // the one in each place now
+	servers        []*server // all servers of the run, replaced ones included
+	currentServers []*server // by slot: the server that occupies it; there is one slot for each server of the scenario
 	keyStores      setup.KeyStores
 	replacements   int // servers replaced so far
 	registry       *model.Registry
-	registryWake   time.Duration   // when registry is advanced next
-	versionTimes   []time.Duration // when each version of the list was made
-	decodedBody    []byte          // of the last list decoded
+	registryWake   time.Duration   // when registry is advanced next; discovery.Never: not scheduled
+	versionTimes   []time.Duration // when each version of the list was published
+	decodedBody    []byte          // body that decodedList was decoded from
 	decodedList    discovery.List
 
 	// Nodes and clients
 	nodes        []*hollowNode
 	classes      []class
 	tenants      []string
-	openClients  int    // with a request under way
-	lastWorkID   uint64 // of the requests that reached a server
-	stopArrivals func() // ends the drawing of arrivals
+	openClients  int    // clients whose request has no final outcome yet
+	lastWorkID   uint64 // last model.Work.ID given to a request at a server
+	stopArrivals func() // stops the iterator of arrivals
 
 	measurement
 }
 
-// class is a scenario's class and the model's scope of its keys.
+// class is a class of the scenario with the scope of its idempotency keys in the form of package model.
 type class struct {
 	scenario.Class
 	scope model.Scope
 }
 
-// event is something that is to happen.
+// event is a function that is scheduled for a time.
 type event struct {
 	at  time.Duration
-	seq uint64 // breaks ties: the event made first comes first
+	seq uint64 // breaks ties: the event that was scheduled first runs first
 	do  func()
 }
 
@@ -105,15 +105,15 @@
 	return e
 }
 
-// schedule calls do at a time, or now if that has passed.
+// schedule schedules a call of do at a time, or at the present time if that one has passed.
 func (m *sim) schedule(at time.Duration, do func()) {
 	m.eventSeq++
 	heap.Push(&m.events, &event{max(at, m.now), m.eventSeq, do})
 }
 
-// run plays the events up to a time.
+// run runs the events up to a time, which is the present time afterwards.
 func (m *sim) run(ctx context.Context, until time.Duration) error {
-	const eventsBetweenChecks = 1 << 12 // of ctx
+	const eventsBetweenChecks = 1 << 12 // of whether ctx has ended
 	for n := 0; len(m.events) > 0 && m.events[0].at <= until; n++ {
 		if n%eventsBetweenChecks == 0 && ctx.Err() != nil {
 			return ctx.Err()
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// newSim builds a run and schedules its beginning.
+// newSim builds a run and schedules the nodes' starts, the scenario's events and the start of the traffic.
 func newSim(s *scenario.Scenario) (*sim, error) {
 	m := &sim{
 		scenario:     s,
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// buildNodes reads all configurations, in parallel as each is large where there
-// are many servers, and schedules the nodes' starts.
+// buildNodes creates the nodes and schedules their starts. It reads the configurations in parallel, because each is
+// large if there are many servers.
 func (m *sim) buildNodes() error {
 	count := m.scenario.Fleet.Nodes
 	m.nodes = make([]*hollowNode, count)
@@ -215,11 +215,11 @@
 	return nil
 }
 
-// newNode makes a node from the configuration of its given incarnation.
+// newNode creates node i from the scenario's configuration for the given incarnation.
 func (m *sim) newNode(i, incarnation int, known []byte) (*hollowNode, error) {
 	raw, err := m.scenario.NodeConfig(i, scenario.NodeStart{
 		Incarnation: incarnation,
-		Listen:      "127.0.0.1:1", // nothing listens here, nor at the next
+		Listen:      "127.0.0.1:1", // nothing listens on this address or on the next one
 		Discovery:   "127.0.0.1:2",
 		KnownList:   known,
 	})
@@ -233,8 +233,8 @@
 	return newHollowNode(m, i, incarnation, cfg), nil
 }
 
-// startArrivals makes clients send their requests. Each is drawn when the one
-// before is sent.
+// startArrivals starts the clients when their requests are due. Each arrival is drawn when the one before it has
+// been sent.
 func (m *sim) startArrivals() {
 	var next func() (arrivals.Arrival, bool)
 	next, m.stopArrivals = iter.Pull(arrivals.All(m.scenario))
@@ -252,7 +252,7 @@
 	sendDue()
 }
 
-// result sums up the run. Requests that have no answer by now are lost.
+// result completes the report of the run. Requests that have no response by now are lost.
 func (m *sim) result() *result.Run {
 	r := m.report
 	q := &r.Requests
