--- a/internal/lab/hollow/request.go
+++ b/internal/lab/hollow/request.go
@@ -7,21 +7,20 @@
 	"bankshift/internal/node"
 )
 
-// request is a client's try at a node, until it is answered and its attempts
-// have ended.
+// request is a client's try as its node handles it, until it is answered and its attempts have ended.
 type request struct {
 	id             balancer.RequestID
 	client         *client
 	class          *class
-	deadline       time.Duration // of the node
-	clientDeadline time.Duration
+	deadline       time.Duration // by which the node responds
+	clientDeadline time.Duration // by which the client needs a response
 	arrivedAt      time.Duration
 	attempts       []*attempt
 	inFlight       int // attempts that have not ended
 	answered       bool
 }
 
-// accept takes a client's try.
+// accept passes a client's try to the balancer, or rejects it if too many requests are open.
 func (n *hollowNode) accept(r *request, e balancer.RequestArrived) {
 	m := n.sim
 	r.arrivedAt = m.now
@@ -30,8 +29,8 @@
 		r.client.tryEnded(tryRejected, 0)
 		return
 	}
-	if n.draining && n.answerBy < r.deadline {
-		r.deadline = n.answerBy
+	if n.draining && n.responsesDueBy < r.deadline {
+		r.deadline = n.responsesDueBy
 	}
 	e.Timeout = r.deadline - m.now
 	n.requests[r.id] = r
@@ -39,8 +38,8 @@
 	n.handle(e)
 }
 
-// endOverdue has the balancer end a request whose deadline has passed without a
-// decision.
+// endOverdue has the balancer end a request whose deadline has passed, and fails the request if the balancer does
+// not end it.
 func (n *hollowNode) endOverdue(r *request) {
 	if !r.answered {
 		n.handle(balancer.DeadlineExceeded{ID: r.id})
@@ -48,56 +47,56 @@
 	n.endUnanswered(r)
 }
 
-// endUnanswered fails a request, if it is not answered, without the balancer.
+// endUnanswered fails a request that is not answered, without a decision of the balancer.
 func (n *hollowNode) endUnanswered(r *request) {
 	if r.answered {
 		return
 	}
 	m := n.sim
-	m.currentSecond().deadlineAnswers++
-	n.answer(r.id, tryFailed, 0)
+	m.currentSecond().deadlineResponses++
+	n.respond(r.id, tryFailed, 0)
 	for _, a := range r.attempts {
 		n.schedule(m.now, a.cancel)
 	}
 	n.handle(balancer.RequestAbandoned{ID: r.id})
 }
 
-// answer gives a try its final answer, once; later ones are ignored. Attempts
-// that have not been written are cancelled.
-func (n *hollowNode) answer(id balancer.RequestID, outcome tryOutcome, retryAfter time.Duration) {
+// respond sends a try's final response; later ones are ignored. Attempts that have not been written are canceled.
+func (n *hollowNode) respond(id balancer.RequestID, outcome tryOutcome, retryAfter time.Duration) {
 	r := n.requests[id]
 	if r == nil || r.answered {
 		return
 	}
 	r.answered = true
-	n.sim.checkAnswerTime(r)
+	n.sim.checkResponseTime(r)
 	for _, a := range r.attempts {
 		if a.notWritten() {
 			n.schedule(n.sim.now, a.cancelUnsent)
 		}
 	}
 	r.client.tryEnded(outcome, retryAfter)
-	n.forget(r)
+	n.removeIfDone(r)
 }
 
-// forget drops a request that is answered and has no attempt in flight.
-func (n *hollowNode) forget(r *request) {
+// removeIfDone removes a request that is answered and has no attempt in flight.
+func (n *hollowNode) removeIfDone(r *request) {
 	if r.answered && r.inFlight == 0 {
 		delete(n.requests, r.id)
 	}
 }
 
-// send carries out the balancer's Send.
+// send carries out the balancer's Send. It makes no attempt if the request is answered, or if another attempt is in
+// flight and hedging is not allowed.
 func (n *hollowNode) send(s balancer.Send) {
 	m := n.sim
 	r := n.requests[s.ID]
 	if r == nil {
-		m.violation("node %d sends a request that is not open", n.index)
+		m.recordViolation("node %d sends a request that is not open", n.index)
 		return
 	}
 	a := newAttempt(n, r, s)
 	if r.answered || r.inFlight > 0 && !n.cfg.Settings.HedgingAllowed {
-		n.refuseSend(a)
+		n.rejectAttempt(a)
 		return
 	}
 	m.checkSend(a, r.attempts)
@@ -107,8 +106,8 @@
 	n.schedule(m.now, a.start)
 }
 
-// refuseSend ends an attempt that must not be made.
-func (n *hollowNode) refuseSend(a *attempt) {
+// rejectAttempt reports an attempt that must not be made to the balancer as not sent.
+func (n *hollowNode) rejectAttempt(a *attempt) {
 	r := a.request
 	a.state = attemptOver
 	a.outcome = balancer.NotSent
@@ -123,15 +122,15 @@
 	})
 }
 
-// attemptEnded reports the end of an attempt to the balancer.
+// attemptEnded handles the end of an attempt: a good response goes to the client before the balancer gets the event.
 func (n *hollowNode) attemptEnded(a *attempt) {
 	r := a.request
 	r.inFlight--
 	if a.outcome == balancer.OK {
 		if !r.answered {
-			n.sim.recordAdded(a)
+			n.sim.recordAddedLatency(a)
 		}
-		n.answer(r.id, tryServed, 0)
+		n.respond(r.id, tryServed, 0)
 	}
 	n.handle(balancer.AttemptEnded{
 		ID:          r.id,
@@ -141,5 +140,5 @@
 		Elapsed:     n.sim.now - a.sentAt,
 		Outcome:     a.outcome,
 	})
-	n.forget(r)
+	n.removeIfDone(r)
 }
--- a/internal/lab/hollow/rules.go
+++ b/internal/lab/hollow/rules.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	maxViolations = 20                    // described one by one
-	socketSlack   = 50 * time.Millisecond // of times that pass through sockets
-	responseSlack = 70 * time.Millisecond // of an answer past its deadline: 20 ms of the settings, and socketSlack
+	maxViolations = 20                    // described in the result; further ones are only counted
+	socketSlack   = 50 * time.Millisecond // tolerance for the time that messages take through sockets
+	responseSlack = 70 * time.Millisecond // tolerance past a response's deadline: 20 ms of the settings plus socketSlack
 
-	// notifiedFraction of what crashed a server that warms up, from nodes notified of
-	// its start, is a violation.
+	// A crash of a server that warms up is a violation if at least notifiedFraction of the messages that crashed it
+	// came from nodes that had been notified of its start.
 	notifiedFraction = 2.0 / 3
 )
 
-// violation records that a rule was broken.
-func (m *sim) violation(format string, args ...any) {
+// recordViolation adds a broken rule to the report, with its time since the start of the traffic.
+func (m *sim) recordViolation(format string, args ...any) {
 	m.violations++
 	if m.violations <= maxViolations {
 		at := fmt.Sprintf("%.3fs: ", (m.now - m.trafficStart).Seconds())
@@ -26,37 +26,36 @@
 	}
 }
 
-// checkSend checks a send against the rules, given the request's earlier
-// attempts.
+// checkSend checks an attempt against the rules, given the request's earlier attempts.
 func (m *sim) checkSend(a *attempt, earlier []*attempt) {
 	r := a.request
 	if r.answered {
-		m.violation("node %d: a send for %s, which has its answer", a.node.index, r.id)
+		m.recordViolation("node %d: a send for %s, which has its answer", a.node.index, r.id)
 	}
 	if limit := m.scenario.Fleet.MaxAttempts; len(earlier) >= limit {
-		m.violation("node %d: attempt %d of %s, %d are allowed", a.node.index, len(earlier)+1, r.id, limit)
+		m.recordViolation("node %d: attempt %d of %s, %d are allowed", a.node.index, len(earlier)+1, r.id, limit)
 	}
 	for _, e := range earlier {
 		m.checkRepeat(a, e)
 	}
 }
 
-// checkRepeat checks that an attempt may follow an earlier one.
+// checkRepeat checks that an attempt may be made after an earlier one of the same request.
 func (m *sim) checkRepeat(a, earlier *attempt) {
 	r := a.request
 	b := a.node.pool.backends[a.endpoint]
 	switch {
 	case earlier.state != attemptOver && !m.scenario.Fleet.HedgingAllowed:
-		m.violation("node %d: two attempts of %s are out", a.node.index, r.id)
+		m.recordViolation("node %d: two attempts of %s are out", a.node.index, r.id)
 	case !earlier.mayHaveRun() || r.class.Idempotency == scenario.Idempotent:
 	case r.class.Idempotency == scenario.NotIdempotent:
-		m.violation("node %d: %s is unsafe, may have run, and is sent again", a.node.index, r.id)
+		m.recordViolation("node %d: %s is unsafe, may have run, and is sent again", a.node.index, r.id)
 	case b != nil && earlier.backend != nil && leavesScope(r.class.KeyScope, earlier.backend.server, b.server):
-		m.violation("node %d: %s may have run and leaves its %s", a.node.index, r.id, r.class.KeyScope)
+		m.recordViolation("node %d: %s may have run and leaves its %s", a.node.index, r.id, r.class.KeyScope)
 	}
 }
 
-// leavesScope reports whether two servers do not share the keys of a scope.
+// leavesScope reports whether two servers do not share the idempotency keys of a scope.
 func leavesScope(scope string, from, to *server) bool {
 	switch scope {
 	case scenario.ScopeZone:
@@ -67,48 +66,50 @@
 	return false
 }
 
-// checkFirstByte checks a request's first byte against the rules on time.
+// checkFirstByte checks the time of a request's first byte: a repeat must be within the key's window, and a server
+// that is listed as draining or removed gets no request after the drain grace.
 func (m *sim) checkFirstByte(a *attempt, sv *server) {
 	r := a.request
 	window := r.class.KeyWindow
 	for _, e := range r.attempts[:a.number] {
 		if r.class.Idempotency == scenario.IdempotentByKey && e.mayHaveRun() && m.now > e.sentAt+window.Std()+socketSlack {
-			m.violation("node %d: %s goes out again %v after it may have run, its key is known for %v",
+			m.recordViolation("node %d: %s goes out again %v after it may have run, its key is known for %v",
 				a.node.index, r.id, m.now-e.sentAt, window)
 		}
 	}
-	if sv.leftVersion == 0 {
+	if sv.notReadyVersion == 0 {
 		return
 	}
 	grace := m.scenario.Discovery.DrainGrace.Std() + socketSlack
-	notifiedAt := m.notifiedAt(a.node, sv.leftVersion)
-	if m.now > m.versionTimes[sv.leftVersion]+grace && m.now > notifiedAt+grace {
-		m.violation("node %d: %s goes to %s, told as %s %v ago", a.node.index, r.id, sv.Name, sv.entry.Status, m.now-notifiedAt)
+	notifiedAt := m.notifiedAt(a.node, sv.notReadyVersion)
+	if m.now > m.versionTimes[sv.notReadyVersion]+grace && m.now > notifiedAt+grace {
+		m.recordViolation("node %d: %s goes to %s, told as %s %v ago", a.node.index, r.id, sv.Name, sv.entry.Status, m.now-notifiedAt)
 	}
 }
 
-// checkRejection checks that another try of a rejected request does no harm.
+// checkRejection checks that another try of a rejected request does no harm: no attempt may have been executed
+// unless the request may be repeated at any server.
 func (m *sim) checkRejection(r *request) {
 	if r.class.RepeatableAnywhere() {
 		return
 	}
 	for _, a := range r.attempts {
 		if a.mayHaveRun() {
-			m.violation("%s may have run and is refused", r.id)
+			m.recordViolation("%s may have run and is refused", r.id)
 			return
 		}
 	}
 }
 
-// checkAnswerTime checks that an answer is in time.
-func (m *sim) checkAnswerTime(r *request) {
+// checkResponseTime checks that a response comes by the client's deadline, with a tolerance.
+func (m *sim) checkResponseTime(r *request) {
 	if m.now > r.clientDeadline+responseSlack {
-		m.violation("%s is answered %v late", r.id, m.now-r.clientDeadline)
+		m.recordViolation("%s is answered %v late", r.id, m.now-r.clientDeadline)
 	}
 }
 
-// checkWarmupLoad records a message that reaches a server, and checks who caused
-// it if the server crashed under it.
+// checkWarmupLoad records a message that reaches a server that warms up. If the server crashed under the message, it
+// checks whether nodes that knew of the start caused the crash.
 func (m *sim) checkWarmupLoad(sv *server, n *hollowNode) {
 	if sv.startVersion == 0 || m.now >= sv.startedAt+m.scenario.Servers.WarmupTime.Std() {
 		return
@@ -131,12 +132,12 @@
 		}
 	}
 	if float64(notified) >= notifiedFraction*float64(len(sv.warmupSends)) {
-		m.violation("%s fell over %v after its start: %d of the last %d sends came from nodes that were told",
+		m.recordViolation("%s fell over %v after its start: %d of the last %d sends came from nodes that were told",
 			sv.Name, m.now-sv.startedAt, notified, len(sv.warmupSends))
 	}
 }
 
-// recordWarmupSend adds a message to those of the last CrashWindow.
+// recordWarmupSend adds a message to the server's warmupSends and removes those before the last CrashWindow.
 func (m *sim) recordWarmupSend(sv *server, n *hollowNode) {
 	expired := 0
 	for expired < len(sv.warmupSends) && sv.warmupSends[expired].at <= m.now-m.scenario.Servers.CrashWindow.Std() {
