--- a/cmd/bankshift/log_unread_test.go
+++ b/cmd/bankshift/log_unread_test.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestErrorIsNotRead: the program cannot start, and its log's pipe
+// TestExitsWhileLogPipeIsFull: the program cannot start, and its log's pipe
 // is full. It ends all the same.
-func TestErrorIsNotRead(t *testing.T) {
+func TestExitsWhileLogPipeIsFull(t *testing.T) {
 	cmd := newProgram(t, "no JSON")
 	_, write := newSmallPipe(t)
 	if _, err := write.Write(make([]byte, smallPipeSize)); err != nil {
--- a/cmd/bankshift/main_test.go
+++ b/cmd/bankshift/main_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-func TestBadConfigIsOneLineAndNonZero(t *testing.T) {
+func TestInvalidConfigExitsWithOneLineError(t *testing.T) {
 	out, err := newProgram(t, `{"settings":{}}`).CombinedOutput()
 	if _, ok := err.(*exec.ExitError); !ok || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "listen") {
 		t.Errorf("ends with %v and prints %q, want a non-zero status and one line on listen", err, out)
--- a/cmd/bankshift/soak_backend_test.go
+++ b/cmd/bankshift/soak_backend_test.go
@@ -82,7 +82,7 @@
 
 // respond answers a request as the backend's behaviour says. It reports whether
 // the connection goes on.
-func (s *soakRun) respond(c net.Conn, r *bufio.Reader, behaviour, id string, rejected bool) (goOn bool) {
+func (s *soakRun) respond(c net.Conn, r *bufio.Reader, behaviour, id string, rejected bool) (keepOpen bool) {
 	switch {
 	case behaviour == "hangs":
 		io.Copy(io.Discard, r) // until the node gives up
@@ -102,22 +102,22 @@
 
 // sendResponse sends a good response in one of its forms, some in pieces. It
 // reports whether the connection goes on.
-func (s *soakRun) sendResponse(c net.Conn, id string) (goOn bool) {
+func (s *soakRun) sendResponse(c net.Conn, id string) (keepOpen bool) {
 	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
-	goOn = true
+	keepOpen = true
 	switch s.draw(8) {
 	case 0:
 		text = chunkedResponse(id)
 	case 1:
 		text = "HTTP/1.1 200 OK\r\n\r\n" + id
-		goOn = false
+		keepOpen = false
 	case 2:
 		text = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + text
 	case 3:
 		text += text // a second copy
 	case 4:
 		text = strings.Replace(text, "\r\n", "\r\nConnection: close\r\n", 1)
-		goOn = false
+		keepOpen = false
 	}
 	cut := s.draw(len(text))
 	if s.draw(4) == 0 {
@@ -126,7 +126,7 @@
 		text = text[cut:]
 	}
 	_, err := io.WriteString(c, text)
-	return goOn && err == nil
+	return keepOpen && err == nil
 }
 
 // chunkedResponse returns a response with a chunk for each byte, and a trailer.
--- a/cmd/bankshift/soak_bad_client_test.go
+++ b/cmd/bankshift/soak_bad_client_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// hiddenRequest is a request that no client sends: it is part of another one's
+// smuggledRequest is a request that no client sends: it is part of another one's
 // body.
-const hiddenRequest = "GET /api/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: hidden\r\nX-Class: retryable\r\nX-Deadline: 1\r\n\r\n"
+const smuggledRequest = "GET /api/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: hidden\r\nX-Class: retryable\r\nX-Deadline: 1\r\n\r\n"
 
 // badRequestTexts returns what bad clients send before they wait. None of them
 // begins with a request that could be served.
@@ -24,9 +24,9 @@
 	return []string{
 		"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 noise\r\n\r\n",
 		"GET /api/x HTTP/1.1\r\nHost: h\r\nX-Long: " + strings.Repeat("x", 60<<10),
-		head + fmt.Sprintf("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", hiddenRequest),
-		head + fmt.Sprintf("Content-Length: %d\r\nContent-Length: 0\r\n\r\n%s", len(hiddenRequest), hiddenRequest),
-		head + "Content-Length: -1\r\n\r\n" + hiddenRequest,
+		head + fmt.Sprintf("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", smuggledRequest),
+		head + fmt.Sprintf("Content-Length: %d\r\nContent-Length: 0\r\n\r\n%s", len(smuggledRequest), smuggledRequest),
+		head + "Content-Length: -1\r\n\r\n" + smuggledRequest,
 		head + "Content-Length: 99999999999999999999\r\n\r\n",
 		head + fmt.Sprintf("Content-Length: %d\r\n\r\nhalf", 60<<20),
 		strings.Replace(head, "X-Deadline: 1", "X-Deadline: soon", 1) + "Content-Length: 4\r\n\r\nbody",
@@ -53,9 +53,9 @@
 // is ordered to stop.
 func (s *soakRun) runBadClient(address string, number int) {
 	for k := 0; ; k++ {
-		goOn := true
-		s.locked(func() { goOn = !s.over && s.stopOrderedAt.IsZero() })
-		if !goOn {
+		running := true
+		s.locked(func() { running = !s.over && s.sigtermAt.IsZero() })
+		if !running {
 			return
 		}
 		texts := badRequestTexts(fmt.Sprintf("bad-%d-%d", number, k))
@@ -76,7 +76,7 @@
 		return false
 	}
 	defer c.Close()
-	c.SetDeadline(began.Add(limit + holdUpTime))
+	c.SetDeadline(began.Add(limit + maxNodePause))
 	io.WriteString(c, text) // may be cut short
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	s.locked(func() {
@@ -84,7 +84,7 @@
 		served := err == nil && resp.StatusCode < 400
 		late := errors.Is(err, os.ErrDeadlineExceeded) && !s.over
 		if served || late {
-			s.violation("bad request %d: %v, %v after %v", number, resp, err, time.Since(began))
+			s.recordViolation("bad request %d: %v, %v after %v", number, resp, err, time.Since(began))
 		}
 	})
 	return true
--- a/cmd/bankshift/soak_client_test.go
+++ b/cmd/bankshift/soak_client_test.go
@@ -28,7 +28,7 @@
 func (c *soakClient) connect() error {
 	allowed := true
 	c.locked(func() {
-		allowed = !c.over && (c.stopOrderedAt.IsZero() || time.Since(c.stopOrderedAt) < lateConnectTime)
+		allowed = !c.over && (c.sigtermAt.IsZero() || time.Since(c.sigtermAt) < lateConnectTime)
 	})
 	if !allowed {
 		return errNoNewConnections
@@ -96,8 +96,8 @@
 	defer c.mu.Unlock()
 	lost := len(r.attempts) > 0 || try > 0 || c.lostToKill(r)
 	if lost && !c.over {
-		c.violation("%s (%s): no response after %v of %v (try %d, %d attempts): %v; %v after SIGTERM", id, r.class,
-			time.Since(began), r.deadline, try, len(r.attempts), err, c.sinceStopOrder())
+		c.recordViolation("%s (%s): no response after %v of %v (try %d, %d attempts): %v; %v after SIGTERM", id, r.class,
+			time.Since(began), r.deadline, try, len(r.attempts), err, c.sinceSIGTERM())
 	}
 	return lost
 }
@@ -105,23 +105,23 @@
 // lostToKill reports whether SIGKILL came while a request was unanswered that was
 // sent so late that a node may not lose it. The caller holds s.mu.
 func (s *soakRun) lostToKill(r *soakRequest) bool {
-	return !s.killedAt.IsZero() && !r.sentAt.IsZero() && r.sentAt.Before(s.killedAt) && r.sentAt.Sub(s.stopOrderedAt) > killSlack
+	return !s.killedAt.IsZero() && !r.sentAt.IsZero() && r.sentAt.Before(s.killedAt) && r.sentAt.Sub(s.sigtermAt) > killSlack
 }
 
-// sinceStopOrder returns the time since SIGTERM. The caller holds s.mu.
-func (s *soakRun) sinceStopOrder() time.Duration {
-	if s.stopOrderedAt.IsZero() {
+// sinceSIGTERM returns the time since SIGTERM. The caller holds s.mu.
+func (s *soakRun) sinceSIGTERM() time.Duration {
+	if s.sigtermAt.IsZero() {
 		return 0
 	}
-	return time.Since(s.stopOrderedAt)
+	return time.Since(s.sigtermAt)
 }
 
 // pauseBeforeReconnect waits before the next connection and reports whether the
 // run goes on.
-func (c *soakClient) pauseBeforeReconnect() (goOn bool) {
+func (c *soakClient) pauseBeforeReconnect() (running bool) {
 	time.Sleep(5 * time.Millisecond)
-	c.locked(func() { goOn = !c.over })
-	return goOn
+	c.locked(func() { running = !c.over })
+	return running
 }
 
 // exchange sends a request and reads its response. It reports whether the request
@@ -146,7 +146,7 @@
 		return false, err
 	}
 	c.locked(func() { r.sentAt = time.Now() })
-	if c.draw(c.leavingOneIn) == 0 {
+	if c.draw(c.abandonOneIn) == 0 {
 		time.Sleep(time.Duration(c.draw(int(r.deadline / 4))))
 		c.locked(func() { r.leftAt = time.Now() })
 		return true, errClientLeft
@@ -194,16 +194,16 @@
 func (c *soakClient) checkResponse(id string, r *soakRequest, status int, body string) {
 	c.counts[strconv.Itoa(status)]++
 	if status == http.StatusOK && body != id {
-		c.violation("%s: answered with %q", id, body)
+		c.recordViolation("%s: answered with %q", id, body)
 	}
 	if status == http.StatusServiceUnavailable && r.class == "fragile" {
 		for _, a := range r.attempts {
 			if !a.rejected {
-				c.violation("%s: rejected, though it may have run", id)
+				c.recordViolation("%s: rejected, though it may have run", id)
 			}
 		}
 	}
 	if c.read.Buffered() > 0 {
-		c.violation("%s: more than one response", id)
+		c.recordViolation("%s: more than one response", id)
 	}
 }
--- a/cmd/bankshift/soak_events_test.go
+++ b/cmd/bankshift/soak_events_test.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// holdUpNode stops the process for moments until the run's end.
-func (s *soakRun) holdUpNode(cmd *exec.Cmd) {
+// pauseNode stops the process for moments until the run's end.
+func (s *soakRun) pauseNode(cmd *exec.Cmd) {
 	for over := false; !over; {
 		time.Sleep(time.Duration(100+s.draw(400)) * time.Millisecond)
 		cmd.Process.Signal(syscall.SIGSTOP) // fails only once it has ended
-		time.Sleep(holdUpTime - 10*time.Millisecond)
+		time.Sleep(maxNodePause - 10*time.Millisecond)
 		cmd.Process.Signal(syscall.SIGCONT)
 		s.locked(func() { over = s.over })
 	}
 }
 
-// disturbNode brings about the events of a run, in order, up to the signals after
+// injectEvents brings about the events of a run, in order, up to the signals after
 // SIGTERM.
-func (s *soakRun) disturbNode(t *testing.T, cmd *exec.Cmd, listen string) {
+func (s *soakRun) injectEvents(t *testing.T, cmd *exec.Cmd, listen string) {
 	t.Helper()
 	time.Sleep(time.Second + s.drawMilliseconds(500))
 	for range s.draw(3) {
@@ -34,11 +34,11 @@
 		time.Sleep(s.drawMilliseconds(300))
 	}
 	s.drain(s.draw(len(s.backends)))
-	if s.crowd {
-		s.connectCrowd(t, listen)
+	if s.connectionBurst {
+		s.openConnectionBurst(t, listen)
 	}
 	time.Sleep(s.drawMilliseconds(2500))
-	s.locked(func() { s.stopOrderedAt = time.Now() })
+	s.locked(func() { s.sigtermAt = time.Now() })
 	sendSignal(t, cmd, syscall.SIGTERM)
 	for range s.draw(3) {
 		time.Sleep(s.drawMilliseconds(100))
@@ -74,9 +74,9 @@
 	}
 }
 
-// connectCrowd opens connections that carry nothing, and closes each after a
+// openConnectionBurst opens connections that carry nothing, and closes each after a
 // while.
-func (s *soakRun) connectCrowd(t *testing.T, address string) {
+func (s *soakRun) openConnectionBurst(t *testing.T, address string) {
 	t.Helper()
 	for range 300 {
 		c, err := net.Dial("tcp", address)
--- a/cmd/bankshift/soak_rules_test.go
+++ b/cmd/bankshift/soak_rules_test.go
@@ -14,7 +14,7 @@
 	drainGraceSlack     = 50 * time.Millisecond  // what the pages add to each limit
 	onDemandDelay       = 6 * time.Second        // a change of the list counts as known then, if it is polled on demand
 	reloadDelay         = 4 * time.Second        // and then after SIGHUP
-	holdUpTime          = 150 * time.Millisecond // for which a node may be held up
+	maxNodePause        = 150 * time.Millisecond // for which a node may be held up
 	lateConnectTime     = 400 * time.Millisecond // for which new connections arrive after SIGTERM
 	killSlack           = 700 * time.Millisecond // SIGKILL may come this much after SIGTERM and the longest deadline
 	deduplicationWindow = time.Second            // in which backends drop the repetition of a request with a key
@@ -42,11 +42,11 @@
 	rejected    bool          // with proof that it has not run
 }
 
-// violation records a broken rule. It is excused where the machine has kept the
+// recordViolation records a broken rule. It is excused where the machine has kept the
 // node from running for longer than a node may be held up, as the kernel's account
 // of its threads shows; that is counted. The caller holds s.mu.
-func (s *soakRun) violation(format string, args ...any) {
-	if s.nodeDelay.longestRecent(time.Now()) > holdUpTime {
+func (s *soakRun) recordViolation(format string, args ...any) {
+	if s.nodeDelay.longestRecent(time.Now()) > maxNodePause {
 		s.counts["excused: the machine was too busy"]++
 		return
 	}
@@ -60,7 +60,7 @@
 	s.counts["attempts"]++
 	r := s.requests[id]
 	if r == nil {
-		s.violation("request %q, which no client sent, came to %s", id, s.backends[a.backend].name)
+		s.recordViolation("request %q, which no client sent, came to %s", id, s.backends[a.backend].name)
 		return
 	}
 	s.checkTimes(id, r, a)
@@ -77,10 +77,10 @@
 		left -= a.lastByteAt.Sub(r.sentAt)
 	}
 	if a.deadline > left+deadlineSlack+s.timingError() {
-		s.violation("%s: sent with a deadline of %v where %v is left", id, a.deadline, left)
+		s.recordViolation("%s: sent with a deadline of %v where %v is left", id, a.deadline, left)
 	}
 	if !r.leftAt.IsZero() && a.firstByteAt.Sub(r.leftAt) > departureSlack+s.timingError() {
-		s.violation("%s: an attempt begins %v after its client has left", id, a.firstByteAt.Sub(r.leftAt))
+		s.recordViolation("%s: an attempt begins %v after its client has left", id, a.firstByteAt.Sub(r.leftAt))
 	}
 }
 
@@ -104,7 +104,7 @@
 	}
 	late := a.firstByteAt.Sub(knownAt)
 	if late > drainGrace+drainGraceSlack+s.timingError() {
-		s.violation("%s: sent to %s %v after it was known as draining", id, backend.name, late)
+		s.recordViolation("%s: sent to %s %v after it was known as draining", id, backend.name, late)
 	}
 }
 
@@ -118,9 +118,9 @@
 		sinceEarlier := a.firstByteAt.Sub(earlier.lastByteAt)
 		switch {
 		case r.class == "fragile":
-			s.violation("%s: a request that is not idempotent comes to %s after %s", id, s.backends[a.backend].name, s.backends[earlier.backend].name)
+			s.recordViolation("%s: a request that is not idempotent comes to %s after %s", id, s.backends[a.backend].name, s.backends[earlier.backend].name)
 		case r.class == "dedup" && sinceEarlier > deduplicationWindow:
-			s.violation("%s: a request with a key comes again after %v", id, sinceEarlier)
+			s.recordViolation("%s: a request with a key comes again after %v", id, sinceEarlier)
 		}
 	}
 }
--- a/cmd/bankshift/soak_test.go
+++ b/cmd/bankshift/soak_test.go
@@ -19,9 +19,9 @@
 	seed            int64
 	onDemand        bool          // the node polls the endpoint list only on demand
 	longestDeadline time.Duration // of the classes
-	crowd           bool          // idle clients open connections all at once
-	holdUps         bool          // the process is stopped for moments
-	leavingOneIn    int           // one in so many clients leaves early
+	connectionBurst bool          // idle clients open connections all at once
+	pauses          bool          // the process is stopped for moments
+	abandonOneIn    int           // one in so many clients leaves early
 	silentDiscovery bool          // discovery is silent for a while, as a backend begins to drain
 	staleEndpoints  bool          // the node starts with a list that does not know of a drain
 	badClients      bool          // clients send what they should not
@@ -36,7 +36,7 @@
 	changed         chan struct{} // closed by the next change of the endpoint list
 	discoveryBackAt time.Time     // discovery answers from then on
 	reloadedAt      time.Time     // the last SIGHUP
-	stopOrderedAt   time.Time     // SIGTERM; zero: not yet
+	sigtermAt       time.Time     // SIGTERM; zero: not yet
 	killedAt        time.Time     // SIGKILL; zero: not sent
 	over            bool
 	lastTick        time.Time     // of watchStalls
@@ -51,9 +51,9 @@
 		seed:            seed,
 		onDemand:        seed%4 == 3,
 		longestDeadline: longestDeadlines[seed%3],
-		crowd:           seed%2 == 0,
-		holdUps:         seed%5 < 2,
-		leavingOneIn:    []int{20, 3}[seed%2],
+		connectionBurst: seed%2 == 0,
+		pauses:          seed%5 < 2,
+		abandonOneIn:    []int{20, 3}[seed%2],
 		silentDiscovery: seed%5 > 2,
 		staleEndpoints:  seed%3 == 1,
 		badClients:      seed%4 < 2,
@@ -105,9 +105,9 @@
 		listen, discovery, s.seed, s.endpointList(true), mode, drainGrace, strings.Join(classes, ","))
 }
 
-// play runs a node from its start to its end, which is SIGKILL at the earliest
+// runNode runs a node from its start to its end, which is SIGKILL at the earliest
 // time that the node may expect it.
-func (s *soakRun) play(t *testing.T) {
+func (s *soakRun) runNode(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
 	go s.watchStalls(done)
@@ -131,13 +131,13 @@
 		t.Fatalf("not ready; its log is\n%s", &log)
 	}
 	clients := s.startClients(listen)
-	if s.holdUps {
-		go s.holdUpNode(cmd)
+	if s.pauses {
+		go s.pauseNode(cmd)
 	}
 	if s.badClients {
 		s.startBadClients(clients, listen)
 	}
-	s.disturbNode(t, cmd, listen)
+	s.injectEvents(t, cmd, listen)
 	if err := s.awaitExit(cmd, ended); err != nil {
 		t.Errorf("it ends with %v; its log is\n%s", err, &log)
 	}
@@ -178,7 +178,7 @@
 	select {
 	case err := <-ended:
 		return err
-	case <-time.After(time.Until(s.stopOrderedAt.Add(kill))):
+	case <-time.After(time.Until(s.sigtermAt.Add(kill))):
 	}
 	s.locked(func() {
 		s.counts["killed"]++
@@ -222,7 +222,7 @@
 		seed := first + i
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			s := newSoakRun(seed)
-			s.play(t)
+			s.runNode(t)
 			s.report(t)
 		})
 	}
