--- a/cmd/bankshift/environment_test.go
+++ b/cmd/bankshift/environment_test.go
@@ -16,18 +16,19 @@
 // noEndpoints is an endpoint list without entries.
 const noEndpoints = `{"index":0,"snapshot":true,"endpoints":[]}`
 
-// environment is what a process is started beside: a discovery that can be out of
-// order, and a backend.
+// environment holds the services that a process under test uses: a discovery
+// server, whose answers can be withheld, and a backend.
 type environment struct {
-	discovery   string       // address
+	discovery   string       // address of the discovery server
 	backend     string       // address
-	endpoints   string       // the list of discovery
-	polls       atomic.Int32 // that discovery has received
-	discoveryUp atomic.Bool  // false: discovery accepts connections and never answers
+	endpoints   string       // the endpoint list that discovery answers with
+	polls       atomic.Int32 // number of requests that discovery has received
+	discoveryUp atomic.Bool  // if false, discovery accepts connections and never answers
 }
 
-// newEnvironment starts an environment with so many entries in the endpoint list,
-// all of them the one backend. Discovery is not up yet.
+// newEnvironment starts an environment whose endpoint list has the given number of
+// entries, all with the address of the one backend. Discovery does not answer until
+// discoveryUp is set, and never answers a long poll for changes to version 7.
 func newEnvironment(t *testing.T, entries int) *environment {
 	t.Helper()
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -50,7 +51,8 @@
 	return e
 }
 
-// endpointList returns an endpoint list of version 7.
+// endpointList returns an endpoint list of version 7 with count entries, all with
+// the address of the backend.
 func (e *environment) endpointList(count int) string {
 	entries := make([]string, count)
 	for i := range entries {
@@ -60,9 +62,9 @@
 	return `{"index":7,"snapshot":true,"endpoints":[` + strings.Join(entries, ",") + `]}`
 }
 
-// freeAddress returns an address on which nothing listens. Its IP address is used
-// for nothing else: no listener, of this test or of another process, gets the port
-// before the program that is to listen there.
+// freeAddress returns an address on which nothing listens. Its random loopback IP
+// address is used for nothing else, so that no other listener, of this test or of
+// another process, takes the port before the program under test does.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	ip := net.IPv4(127, byte(1+rand.IntN(254)), byte(rand.IntN(256)), byte(1+rand.IntN(254)))
@@ -74,7 +76,8 @@
 	return ln.Addr().String()
 }
 
-// refusingAddress returns an address that stays taken and refuses connections.
+// refusingAddress returns an address that refuses connections: its port is bound,
+// so that nobody else can take it, and nothing listens on it.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
--- a/cmd/bankshift/log_test.go
+++ b/cmd/bankshift/log_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// TestLogIsNotReadAnyMore: whoever reads the log has gone. The program goes on.
+// TestLogIsNotReadAnyMore guards against SIGPIPE ending the program when it logs
+// after the reader of its log has closed the pipe.
 func TestLogIsNotReadAnyMore(t *testing.T) {
 	env := newEnvironment(t, 1)
 	env.discoveryUp.Store(true)
@@ -31,18 +32,18 @@
 		close(p.ended)
 	}()
 	if !p.awaitReady(t, readyLimit) {
-		t.Fatal("not ready")
+		t.Fatal("the program is not ready")
 	}
 	if err := os.Remove(configPath(cmd)); err != nil {
 		t.Fatal(err)
 	}
-	for range 3 { // each is logged, as the file cannot be read
+	for range 3 { // each reload fails and is logged, as the file is missing
 		mustSignal(t, cmd, syscall.SIGHUP)
 		for range 15 {
-			if !p.awaitReady(t, readyLimit) { // fails if the program has ended
-				t.Fatal("not ready any more")
+			if !p.awaitReady(t, readyLimit) { // fails the test if the program has exited
+				t.Fatal("the program is not ready any more after SIGHUP")
 			}
-			time.Sleep(50 * time.Millisecond) // it tries to read the file for 0.45 s
+			time.Sleep(50 * time.Millisecond) // the program retries the load for 0.45 s before it logs the failure
 		}
 	}
 }
--- a/cmd/bankshift/log_unread_test.go
+++ b/cmd/bankshift/log_unread_test.go
@@ -11,10 +11,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// smallPipeSize is the smallest size of a pipe.
+// smallPipeSize is the smallest capacity of a pipe in bytes: one page.
 const smallPipeSize = 4096
 
-// newSmallPipe returns a pipe of the smallest size.
+// newSmallPipe returns a pipe with a capacity of smallPipeSize.
 func newSmallPipe(t *testing.T) (read, write *os.File) {
 	t.Helper()
 	read, write, err := os.Pipe()
@@ -28,16 +28,18 @@
 	return read, write
 }
 
-// listWithMalformedEntries returns an endpoint list with one endpoint and so
-// many entries that are logged and skipped that their lines are more than is kept.
+// listWithMalformedEntries returns an endpoint list with one valid entry behind
+// 1000 malformed ones. The node skips and logs each of these, which is more than
+// logsink keeps for a log that is not read.
 func listWithMalformedEntries(e *environment) string {
 	malformed := strings.Repeat(`{"name":"","address":"127.0.0.1:1","status":"ready"},`, 1000)
 	return strings.Replace(e.endpointList(1), `[{`, `[`+malformed+`{`, 1)
 }
 
-// TestLogIsNotRead: whoever holds the log's pipe does not read it, and it is full.
-// The program gets ready, serves, reloads and ends in time. Once somebody reads
-// again, the log says how many lines were lost.
+// TestLogIsNotRead guards against a program that blocks on writing its log when the
+// log's pipe is full because its reader does not read: the program still has to get
+// ready, serve, reload and exit in time. Once the pipe is read again, the log has to
+// report how many lines were lost.
 func TestLogIsNotRead(t *testing.T) {
 	for name, readLater := range map[string]bool{"until the end": false, "for a while": true} {
 		t.Run(name, func(t *testing.T) {
@@ -67,15 +69,15 @@
 			}()
 
 			if !p.awaitReady(t, 3*time.Second) {
-				t.Fatal("not ready")
+				t.Fatal("the program is not ready within 3 s")
 			}
 			if failure := p.awaitServed(t, 2*time.Second); failure != "" {
-				t.Errorf("not served: %s", failure)
+				t.Errorf("no request was served within 2 s, last failure: %s", failure)
 			}
 			replaceFile(t, configPath(cmd), config(moved.discovery))
 			mustSignal(t, cmd, syscall.SIGHUP)
 			if !moved.awaitPoll(reloadDelay) {
-				t.Errorf("the new discovery is not asked within %v", reloadDelay)
+				t.Errorf("the new discovery was not polled within %v after SIGHUP", reloadDelay)
 			}
 			if readLater {
 				awaitLog(t, logLines(read), "log lines lost")
@@ -83,18 +85,18 @@
 			mustSignal(t, cmd, syscall.SIGTERM)
 			select {
 			case <-p.ended:
-			case <-time.After(time.Second + killSlack): // the longest deadline and what the pages add
-				t.Fatal("it has not ended when SIGKILL may come")
+			case <-time.After(time.Second + killSlack): // the longest deadline, and killSlack more
+				t.Fatal("the program is still running at the earliest SIGKILL")
 			}
 			if exit != nil {
-				t.Errorf("it ends with %v, want status 0", exit)
+				t.Errorf("the program exits with %v, want status 0", exit)
 			}
 		})
 	}
 }
 
-// TestExitsWhileLogPipeIsFull: the program cannot start, and its log's pipe
-// is full. It ends all the same.
+// TestExitsWhileLogPipeIsFull guards against a program that blocks for ever on
+// writing its error: its configuration is invalid, and its log's pipe is full.
 func TestExitsWhileLogPipeIsFull(t *testing.T) {
 	cmd := newProgram(t, "no JSON")
 	_, write := newSmallPipe(t)
@@ -110,15 +112,15 @@
 	select {
 	case err := <-ended:
 		if err == nil {
-			t.Error("it ends with status 0")
+			t.Error("the program exits with status 0, want another one for an invalid configuration")
 		}
 	case <-time.After(readyLimit):
 		cmd.Process.Kill()
-		t.Error("it does not end")
+		t.Error("the program does not exit")
 	}
 }
 
-// awaitPoll waits until a discovery has been asked, up to the limit, and reports
+// awaitPoll waits until discovery has received a poll, up to the limit, and reports
 // whether it has.
 func (e *environment) awaitPoll(limit time.Duration) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(time.Millisecond) {
--- a/cmd/bankshift/main.go
+++ b/cmd/bankshift/main.go
@@ -1,6 +1,7 @@
-// Command bankshift is one load-balancing proxy node. It reads the configuration
-// file that GW_CONFIG names, serves until SIGTERM or SIGINT, finishes the open
-// requests and exits with status 0. On SIGHUP it reloads the file.
+// Command bankshift runs one load-balancing HTTP proxy node. It reads the
+// configuration file at the path in GW_CONFIG, serves until SIGTERM or SIGINT,
+// finishes the open requests and exits with status 0. On SIGHUP it reloads the
+// file, of which only the address of discovery takes effect without a restart.
 package main
 
 import (
@@ -18,15 +19,17 @@
 	"bankshift/internal/node"
 )
 
-// A file that is being replaced while it is read is complete soon after. The
-// endpoints of the new discovery have to be known 4 s after SIGHUP.
+// After SIGHUP, a configuration that cannot be loaded is tried again, as the file
+// may be in the middle of being replaced. The waits add up to 0.45 s of the 4 s after
+// SIGHUP within which the node has to know the endpoints of a new discovery address.
 const (
 	maxLoadAttempts   = 10
 	loadRetryInterval = 50 * time.Millisecond
 )
 
-// logFlushTime is how long the program waits at its end for its log to be written.
-// The node has ended 150 ms before SIGKILL may come.
+// logFlushTime limits how long the program waits for pending log lines to be
+// written before it exits. It fits into the 150 ms that Node.Run leaves between its
+// return and the earliest SIGKILL.
 const logFlushTime = 50 * time.Millisecond
 
 func main() {
@@ -44,9 +47,9 @@
 func run(logOutput io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	signal.Ignore(syscall.SIGPIPE) // the node goes on when nobody reads its log any more
-	// Registered before anything else and never released: by default SIGHUP would
-	// end the process.
+	signal.Ignore(syscall.SIGPIPE) // a log line written after the log's reader has exited would end the process
+	// Registered before the configuration is loaded, and never released: by default
+	// SIGHUP would end the process.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 
@@ -59,7 +62,7 @@
 	log := slog.New(slog.NewTextHandler(logOutput, nil)).With("node", cfg.Name)
 	ln, err := node.Listen(ctx, cfg.Listen, log)
 	if ctx.Err() != nil {
-		return nil // ordered to stop before it served
+		return nil // SIGTERM or SIGINT arrived before the node served
 	}
 	if err != nil {
 		return err
@@ -69,26 +72,28 @@
 	return n.Run(ctx, ln)
 }
 
-// setMemoryLimit has the garbage collector work harder well before the machine's
-// limit, which would kill the node.
+// setMemoryLimit sets the Go runtime's soft memory limit to three quarters of
+// memoryMB. Garbage collection becomes more frequent well before the node reaches
+// the machine's limit, at which it would be killed.
 func setMemoryLimit(memoryMB int) {
 	debug.SetMemoryLimit(int64(memoryMB) << 20 * 3 / 4)
 }
 
-// reloadOnSignal reloads the node's configuration for each signal, for ever.
+// reloadOnSignal reloads the node's configuration for each signal. It does not
+// return, as the channel is never closed.
 func reloadOnSignal(signals <-chan os.Signal, path string, n *node.Node, log *slog.Logger) {
 	for range signals {
 		cfg, err := loadConfigRetrying(path, func() { time.Sleep(loadRetryInterval) })
 		if err != nil {
-			log.Error("not reloaded, the previous configuration stays in force", "err", err)
+			log.Error("configuration not reloaded, the previous one stays in force", "err", err)
 			continue
 		}
 		n.Reload(cfg)
 	}
 }
 
-// loadConfigRetrying loads the configuration, again after a wait while it is
-// invalid.
+// loadConfigRetrying loads the configuration at path, up to maxLoadAttempts times
+// while that fails. It calls wait between two attempts.
 func loadConfigRetrying(path string, wait func()) (node.Config, error) {
 	cfg, err := node.LoadConfig(path)
 	for attempt := 1; err != nil && attempt < maxLoadAttempts; attempt++ {
--- a/cmd/bankshift/main_test.go
+++ b/cmd/bankshift/main_test.go
@@ -15,15 +15,18 @@
 	"time"
 )
 
+// TestInvalidConfigExitsWithOneLineError guards against a program that starts with
+// an invalid configuration, or whose error message is not a single line that names
+// the missing key.
 func TestInvalidConfigExitsWithOneLineError(t *testing.T) {
 	out, err := newProgram(t, `{"settings":{}}`).CombinedOutput()
 	if _, ok := err.(*exec.ExitError); !ok || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "listen") {
-		t.Errorf("ends with %v and prints %q, want a non-zero status and one line on listen", err, out)
+		t.Errorf("the program exits with %v and prints %q, want a non-zero status and one line that names listen", err, out)
 	}
 }
 
-// logLines returns the lines of a program's log. The channel is closed at their
-// end.
+// logLines returns a channel with the lines of a program's log. The channel is
+// closed at the end of the log.
 func logLines(log io.Reader) <-chan string {
 	lines := make(chan string, 1000)
 	go func() {
@@ -35,7 +38,8 @@
 	return lines
 }
 
-// awaitLog waits for a line of the log that contains text.
+// awaitLog reads the log until a line contains text. It fails the test if the log
+// ends before that, or after 30 s.
 func awaitLog(t *testing.T, lines <-chan string, text string) {
 	t.Helper()
 	timeout := time.After(30 * time.Second)
@@ -46,16 +50,18 @@
 				return
 			}
 			if !open {
-				t.Fatalf("the program ends and has not logged %q", text)
+				t.Fatalf("the program exited without logging %q", text)
 			}
 		case <-timeout:
-			t.Fatalf("the program does not log %q", text)
+			t.Fatalf("the program has not logged %q within 30 s", text)
 		}
 	}
 }
 
-// TestServesUntilSIGTERM: SIGHUP reloads the configuration in between, and a bad
-// one is logged. Neither ends the program.
+// TestServesUntilSIGTERM guards against a program that a reload ends or makes
+// unready, or that does not exit with status 0 after SIGTERM. SIGHUP reloads the
+// configuration first with a new discovery address, and then with invalid JSON,
+// which is logged and otherwise ignored.
 func TestServesUntilSIGTERM(t *testing.T) {
 	listen := freeAddress(t)
 	discoveries := [2]string{silentAddress(t), silentAddress(t)}
@@ -75,13 +81,13 @@
 		select {
 		case line, open := <-lines:
 			if !open {
-				t.Fatal("the program ends")
+				t.Fatal("the program exited before it was ready")
 			}
 			t.Logf("the program logs %q", line)
 		default:
 		}
 		if time.Now().After(until) {
-			t.Fatal("the program does not get ready")
+			t.Fatal("the program is not ready within 30 s")
 		}
 	}
 	for _, c := range []struct{ config, logged string }{
@@ -99,11 +105,11 @@
 	}
 	mustSignal(t, cmd, syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("after SIGTERM it ends with %v, want status 0", err)
+		t.Errorf("after SIGTERM the program exits with %v, want status 0", err)
 	}
 }
 
-// silentAddress returns an address that takes connections and never answers.
+// silentAddress returns an address that accepts connections and never answers.
 func silentAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -114,8 +120,9 @@
 	return ln.Addr().String()
 }
 
-// TestLoadRetriesWhileTheFileIsReplaced: SIGHUP may come while the file is being
-// replaced. A file that stays bad is given up.
+// TestLoadRetriesWhileTheFileIsReplaced guards against a reload that fails because
+// SIGHUP arrives while the file is incomplete or missing in the middle of being
+// replaced, and against one that retries without end on a file that stays invalid.
 func TestLoadRetriesWhileTheFileIsReplaced(t *testing.T) {
 	const config = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1f","settings":{}}`
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -137,11 +144,11 @@
 		}
 	})
 	if err != nil || cfg.Discovery != "127.0.0.1:2" || waits != 2 {
-		t.Errorf("%+v, %v after %d waits", cfg, err, waits)
+		t.Errorf("a file that is being replaced: loaded %+v with error %v after %d waits, want discovery 127.0.0.1:2 after 2", cfg, err, waits)
 	}
 	write("{")
 	waits = 0
 	if _, err := loadConfigRetrying(path, func() { waits++ }); err == nil || waits == 0 || waits > 20 {
-		t.Errorf("a bad file: %v after %d waits", err, waits)
+		t.Errorf("a file that stays invalid: error %v after %d waits, want an error after 1 to 20", err, waits)
 	}
 }
--- a/cmd/bankshift/process_test.go
+++ b/cmd/bankshift/process_test.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	testTimeout = 60 * time.Second // limit for what a test waits for; a passing one takes far less
-	readyLimit  = 6 * time.Second  // for a restarted process to be ready: 10 s, or 6 s where the day ends sooner
+	testTimeout = 60 * time.Second // limit of each wait of a test; a passing test takes far less
+	readyLimit  = 6 * time.Second  // a restarted process has to be ready within 10 s, or 6 s where a scenario ends sooner
 )
 
-// runAsProgram is the environment variable with which the test binary runs the
-// program itself.
+// runAsProgram is the environment variable that, set to 1, makes the test binary
+// run the program instead of the tests.
 const runAsProgram = "BANKSHIFT_AS_PROGRAM"
 
-// TestMain runs the program where a test has started the test binary for it.
+// TestMain runs the program if runAsProgram is set, and the tests otherwise.
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsProgram) == "1" {
 		main()
@@ -33,8 +33,8 @@
 	os.Exit(m.Run())
 }
 
-// newProgram returns a command that runs the program with a configuration. It is
-// not started.
+// newProgram writes config to a file and returns a command that runs the program
+// with it. The command is not started.
 func newProgram(t *testing.T, config string) *exec.Cmd {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -46,22 +46,24 @@
 	return cmd
 }
 
-// configPath returns the path of a program's configuration file.
+// configPath returns the path of the configuration file of a command that
+// newProgram has returned.
 func configPath(cmd *exec.Cmd) string {
 	return strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "GW_CONFIG=")
 }
 
-// process is a program under test that has been started.
+// process is a running or ended process of the program under test.
 type process struct {
-	address   string // for clients
+	address   string // of the listener for clients
 	startedAt time.Time
-	ended     chan struct{}    // closed when it has ended
-	log       *strings.Builder // to be read after the end
+	ended     chan struct{}    // closed when the process has ended
+	log       *strings.Builder // may be read only after ended is closed
 }
 
-// startProcess starts the program and waits until it listens. With sockets over 0
-// that is its limit of descriptors, by its configuration and by the system. Where
-// another process has taken the address meanwhile, it starts the program again.
+// startProcess starts the program and waits until it listens. If sockets is above
+// 0, it limits the process's file descriptors, in the configuration and by ulimit.
+// If another process has taken the address meanwhile, startProcess tries again with
+// another address, up to five times in all.
 func startProcess(t *testing.T, discovery, known, mode string, sockets int) *process {
 	t.Helper()
 	for range 5 {
@@ -80,19 +82,20 @@
 			return p
 		}
 	}
-	t.Fatal("the program does not start")
+	t.Fatal("the program has not started in 5 attempts: each address was taken by another process")
 	return nil
 }
 
-// withDescriptorLimit returns a command that runs the same program with a limit of
-// descriptors.
+// withDescriptorLimit returns a command that runs the program of cmd with a limit
+// on its file descriptors.
 func withDescriptorLimit(cmd *exec.Cmd, descriptors int) *exec.Cmd {
 	limited := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d && exec %q", descriptors, cmd.Path))
 	limited.Env = cmd.Env
 	return limited
 }
 
-// run starts a command, collects its log, and kills it at the test's end.
+// run starts a command, collects its log, and kills the process at the end of the
+// test. A failed test prints the log.
 func (p *process) run(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	stderr, err := cmd.StderrPipe()
@@ -114,13 +117,13 @@
 		cmd.Process.Kill()
 		<-p.ended
 		if t.Failed() {
-			t.Logf("the program's log is\n%s", p.log)
+			t.Logf("log of the program:\n%s", p.log)
 		}
 	})
 }
 
-// awaitListening waits until the program accepts connections. It returns false if
-// the program has ended because its address was taken.
+// awaitListening waits until the program accepts connections, for testTimeout at
+// most. It returns false if the program has exited because its address was taken.
 func (p *process) awaitListening(t *testing.T) bool {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -129,7 +132,7 @@
 			if strings.Contains(p.log.String(), "address already in use") {
 				return false
 			}
-			t.Fatal("the program ends")
+			t.Fatal("the program exited before it listened")
 		default:
 		}
 		if c, err := net.Dial("tcp", p.address); err == nil {
@@ -140,7 +143,8 @@
 	return true
 }
 
-// isReady asks the program once whether it is ready.
+// isReady sends one request to /health/ready and reports whether it is answered
+// with 200.
 func isReady(client *http.Client, address string) bool {
 	resp, err := client.Get("http://" + address + "/health/ready")
 	if err != nil {
@@ -151,14 +155,14 @@
 }
 
 // awaitReady waits until the program is ready, up to the limit, and reports
-// whether it is.
+// whether it is. It fails the test if the program exits.
 func (p *process) awaitReady(t *testing.T, limit time.Duration) bool {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	for began := time.Now(); time.Since(began) < limit; time.Sleep(5 * time.Millisecond) {
 		select {
 		case <-p.ended:
-			t.Fatal("the program has ended")
+			t.Fatal("the program exited before it was ready")
 		default:
 		}
 		if isReady(client, p.address) {
@@ -168,10 +172,10 @@
 	return false
 }
 
-var requestCount atomic.Int32 // for the IDs of requests
+var requestCount atomic.Int32 // makes request IDs unique
 
-// awaitServed sends requests until one is answered by the backend, up to the
-// limit. It returns an empty string, or else what came of the last one.
+// awaitServed sends requests until the backend answers one, up to the limit. It
+// returns an empty string then, or else the error or status of the last request.
 func (p *process) awaitServed(t *testing.T, limit time.Duration) (lastFailure string) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 5 * time.Second}
--- a/cmd/bankshift/restart_test.go
+++ b/cmd/bankshift/restart_test.go
@@ -10,9 +10,11 @@
 	"time"
 )
 
-// TestReadyAfterARestart: whatever discovery is doing, a process whose
-// configuration names endpoints is ready in time. One without is ready as soon as
-// discovery has named some, and not before, as it could only reject requests.
+// TestReadyAfterARestart guards against a process that waits for discovery before
+// it is ready although its configuration names endpoints: it has to be ready within
+// readyLimit whether discovery answers, refuses connections or is silent. Without
+// endpoints in its configuration, a process must not be ready before discovery has
+// sent some, as it could only reject requests.
 func TestReadyAfterARestart(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		for _, endpoints := range []int{60, 4500} {
@@ -27,7 +29,7 @@
 }
 
 // testReadyAfterARestart starts a process while discovery is in the given state.
-// known: its configuration names the endpoints.
+// known says whether the process's configuration names the endpoints.
 func testReadyAfterARestart(t *testing.T, mode string, endpoints int, state string, known bool) {
 	env := newEnvironment(t, endpoints)
 	env.discoveryUp.Store(state == "up")
@@ -43,28 +45,28 @@
 	began := p.startedAt
 	if !known && state != "up" {
 		if p.awaitReady(t, 500*time.Millisecond) {
-			t.Error("ready without a known endpoint")
+			t.Error("the program is ready without a known endpoint")
 		}
 		env.discoveryUp.Store(true)
 		if state == "down" {
-			return // nothing ever listens on that port
+			return // nothing will ever listen on that port
 		}
 		began = time.Now()
 	}
 	ready := p.awaitReady(t, testTimeout)
 	took := time.Since(began)
 	if !ready || took > readyLimit {
-		t.Fatalf("ready after %v (%v), want within %v", took, ready, readyLimit)
+		t.Fatalf("after %v: ready is %v, want true within %v", took, ready, readyLimit)
 	}
 	t.Logf("ready after %v", took)
 	if failure := p.awaitServed(t, testTimeout); failure != "" {
-		t.Errorf("nothing is served, at last %s", failure)
+		t.Errorf("no request was served, last failure: %s", failure)
 	}
 }
 
-// TestIdleClientsWhileDiscoveryIsDown: clients take all connections that they can
-// get and do not use them, while discovery is out of order. When it returns, the
-// node has a descriptor for it, and serves.
+// TestIdleClientsWhileDiscoveryIsDown guards against idle client connections that
+// use up the node's file descriptors while discovery does not answer: when discovery
+// answers again, the node has to have a descriptor to poll it, and to serve.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		for _, state := range []string{"silent", "known"} {
@@ -76,10 +78,10 @@
 	}
 }
 
-// testIdleClientsWhileDiscoveryIsDown: known means that the configuration names an
-// endpoint, at which nothing listens any more.
+// testIdleClientsWhileDiscoveryIsDown runs one case. If known is true, the
+// configuration names an endpoint, at which nothing listens any more.
 func testIdleClientsWhileDiscoveryIsDown(t *testing.T, mode string, known bool) {
-	const sockets = 64 // the fewest with which a node starts
+	const sockets = 64 // the fewest file descriptors with which a node starts
 	env := newEnvironment(t, 1)
 	list := noEndpoints
 	if known {
@@ -90,24 +92,24 @@
 	defer stop()
 	for end := time.Now().Add(testTimeout); opened.Load() < 6*sockets; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("only %d connections come up", opened.Load())
+			t.Fatalf("only %d connections of idle clients opened", opened.Load())
 		}
 	}
-	time.Sleep(2 * time.Second) // polls of discovery hang all the while
+	time.Sleep(2 * time.Second) // polls of discovery are not answered in this time
 	env.discoveryUp.Store(true)
 	began := time.Now()
 	if !p.awaitReady(t, testTimeout) {
-		t.Error("not ready")
+		t.Error("the program is not ready after discovery answers again")
 	}
 	if failure := p.awaitServed(t, testTimeout); failure != "" {
-		t.Errorf("nothing is served, at last %s", failure)
+		t.Errorf("no request was served, last failure: %s", failure)
 	}
-	t.Logf("served %v after discovery's return, %d connections opened", time.Since(began), opened.Load())
+	t.Logf("served %v after discovery answered again, %d connections opened", time.Since(began), opened.Load())
 }
 
-// connectIdleClients starts clients that connect and send nothing, again after the
-// node has closed their connection, until stop is called. opened counts the
-// connections.
+// connectIdleClients starts count clients that connect and send nothing. Each
+// connects again when the node has closed its connection, or after 2 s, until stop
+// is called. opened counts the connections.
 func connectIdleClients(address string, count int) (opened *atomic.Int32, stop func()) {
 	opened = &atomic.Int32{}
 	done := make(chan struct{})
@@ -128,7 +130,7 @@
 				}
 				opened.Add(1)
 				c.SetReadDeadline(time.Now().Add(2 * time.Second))
-				c.Read(make([]byte, 1)) // until the node closes it
+				c.Read(make([]byte, 1)) // returns when the node closes the connection, or after 2 s
 				c.Close()
 			}
 		}()
--- a/cmd/bankshift/signals_test.go
+++ b/cmd/bankshift/signals_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// mustSignal sends a signal to a program that has to be running.
+// mustSignal sends a signal to a program, and ends the test if that fails.
 func mustSignal(t *testing.T, cmd *exec.Cmd, signal os.Signal) {
 	t.Helper()
 	if err := cmd.Process.Signal(signal); err != nil {
@@ -20,9 +20,10 @@
 	}
 }
 
-// TestSignalsInARow: of several SIGHUPs in a row the last configuration takes
-// effect, and a missing file does no harm. Once the node has been ordered to stop,
-// no further signal ends it sooner or in another way.
+// TestSignalsInARow guards against signals that follow each other closely: of
+// several SIGHUPs the last configuration has to take effect, and one that finds no
+// file must not end the program. After SIGTERM, further signals must neither shorten
+// the shutdown nor change the exit status.
 func TestSignalsInARow(t *testing.T) {
 	listen := freeAddress(t)
 	config := func(discoveryPort int) string {
@@ -47,21 +48,21 @@
 				return
 			}
 		}
-		t.Fatalf("the program ends and has not logged %q", text)
+		t.Fatalf("the program exited without logging %q", text)
 	}
-	awaitLine("discovery failed") // it runs
+	awaitLine("discovery failed") // the program is running
 	if err := os.Remove(configPath(cmd)); err != nil {
 		t.Fatal(err)
 	}
 	mustSignal(t, cmd, syscall.SIGHUP)
 	awaitLine("not reloaded")
 	for port := 2; port <= 20; port++ {
-		replaceFile(t, configPath(cmd), config(port)) // a file that is half written would be read again after a wait
+		replaceFile(t, configPath(cmd), config(port)) // atomic: a half-written file would be read again after a wait
 		mustSignal(t, cmd, syscall.SIGHUP)
 	}
 	awaitLine("address=127.0.0.1:20")
 	if !isReady(http.DefaultClient, listen) {
-		t.Error("not ready after the reloads")
+		t.Error("the program is not ready after the reloads")
 	}
 	began := time.Now()
 	mustSignal(t, cmd, syscall.SIGTERM)
@@ -72,9 +73,9 @@
 		mustSignal(t, cmd, signal)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("it ends with %v, want status 0", err)
+		t.Errorf("the program exits with %v, want status 0", err)
 	}
 	if took := time.Since(began); took < 300*time.Millisecond {
-		t.Errorf("it ends after %v, while new connections still arrive", took)
+		t.Errorf("the program exits %v after SIGTERM, want at least 300ms, as new connections still arrive", took)
 	}
 }
