--- a/cmd/bankshift/log_unread_test.go
+++ b/cmd/bankshift/log_unread_test.go
@@ -116,7 +116,7 @@
 		}
 	case <-time.After(readyLimit):
 		cmd.Process.Kill()
-		t.Error("the program does not exit")
+		t.Errorf("the program has not exited within %v", readyLimit)
 	}
 }
 
--- a/cmd/bankshift/restart_test.go
+++ b/cmd/bankshift/restart_test.go
@@ -92,7 +92,7 @@
 	defer stop()
 	for end := time.Now().Add(testTimeout); opened.Load() < 6*sockets; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("only %d connections of idle clients opened", opened.Load())
+			t.Fatalf("only %d connections of idle clients opened, want %d", opened.Load(), 6*sockets)
 		}
 	}
 	time.Sleep(2 * time.Second) // polls of discovery are not answered in this time
--- a/cmd/bankshift/soak_backend_test.go
+++ b/cmd/bankshift/soak_backend_test.go
@@ -12,26 +12,27 @@
 	"time"
 )
 
-// soakBehaviours is how the backends of a run behave, one each.
+// soakBehaviours lists the behaviour of each backend of a run.
 var soakBehaviours = []string{
 	"answers", "answers", "answers",
-	"hangs",        // never answers
-	"full",         // rejects many requests
-	"full late",    // rejects all requests, after a while
-	"fails",        // answers many with a server error
-	"resets",       // resets some connections instead of answering
-	"closes early", // closes idle connections soon
+	"hangs",        // never responds
+	"full",         // rejects two requests in three, on average
+	"full late",    // rejects all requests, 150 to 320 ms after it has received them
+	"fails",        // answers one request in three with status 500, on average
+	"resets",       // resets the connection of one request in five, on average
+	"closes early", // closes connections after 50 to 250 ms of idleness
 }
 
-// soakBackend is an endpoint with a behaviour of its own.
+// soakBackend is a backend with one of soakBehaviours.
 type soakBackend struct {
 	name      string
 	address   string
 	behaviour string
-	drainedAt time.Time // zero: it is not draining
+	drainedAt time.Time // when the endpoint list first named it as draining; zero: never
 }
 
-// serveBackend serves one connection to the backend of this number.
+// serveBackend serves one connection to the backend with index number, and checks
+// each attempt that it receives.
 func (s *soakRun) serveBackend(number int, c net.Conn) {
 	defer c.Close()
 	backend := s.backends[number]
@@ -52,7 +53,7 @@
 		}
 		s.checkAttempt(id, a)
 		time.Sleep(s.drawMilliseconds(20))
-		if backend.behaviour == "full late" { // the next attempt would begin long after a client has left
+		if backend.behaviour == "full late" { // so that a further attempt would begin long after a client has left
 			time.Sleep(time.Duration(150+s.draw(150)) * time.Millisecond)
 		}
 		if !s.respond(c, r, backend.behaviour, id, a.rejected) {
@@ -61,8 +62,8 @@
 	}
 }
 
-// readRequest reads a request to its end, records its times and deadline, and
-// returns its ID.
+// readRequest reads a whole request, records the time of its last byte and its
+// deadline, and returns its ID. ok is false if the request cannot be read.
 func (a *soakAttempt) readRequest(r *bufio.Reader) (id string, ok bool) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -75,24 +76,24 @@
 	seconds, err := strconv.ParseFloat(req.Header.Get("X-Deadline"), 64)
 	a.deadline = time.Duration(seconds * float64(time.Second))
 	if err != nil {
-		a.deadline = time.Hour // which is a violation
+		a.deadline = time.Hour // a missing or malformed deadline: an hour violates the limit
 	}
 	return req.Header.Get("X-Request-Id"), true
 }
 
-// respond answers a request as the backend's behaviour says. It reports whether
-// the connection goes on.
+// respond answers a request according to the backend's behaviour. It reports
+// whether the connection stays open.
 func (s *soakRun) respond(c net.Conn, r *bufio.Reader, behaviour, id string, rejected bool) (keepOpen bool) {
 	switch {
 	case behaviour == "hangs":
-		io.Copy(io.Discard, r) // until the node gives up
+		io.Copy(io.Discard, r) // returns when the node closes the connection
 		return false
 	case rejected:
 		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	case behaviour == "fails" && s.draw(3) == 0:
 		io.WriteString(c, "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n")
 	case behaviour == "resets" && s.draw(5) == 0:
-		c.(*net.TCPConn).SetLinger(0) // the close resets
+		c.(*net.TCPConn).SetLinger(0) // makes Close send a RST
 		return false
 	default:
 		return s.sendResponse(c, id)
@@ -100,8 +101,10 @@
 	return true
 }
 
-// sendResponse sends a good response in one of its forms, some in pieces. It
-// reports whether the connection goes on.
+// sendResponse sends a valid response with the request's ID as its body, in a
+// random form: with a length, chunked, ended by closing, behind interim responses,
+// sent twice, or with Connection: close. One in four is written in two pieces. It
+// reports whether the connection stays open.
 func (s *soakRun) sendResponse(c net.Conn, id string) (keepOpen bool) {
 	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 	keepOpen = true
@@ -114,7 +117,7 @@
 	case 2:
 		text = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + text
 	case 3:
-		text += text // a second copy
+		text += text // a surplus second response
 	case 4:
 		text = strings.Replace(text, "\r\n", "\r\nConnection: close\r\n", 1)
 		keepOpen = false
@@ -129,7 +132,8 @@
 	return keepOpen && err == nil
 }
 
-// chunkedResponse returns a response with a chunk for each byte, and a trailer.
+// chunkedResponse returns a chunked response with one chunk for each byte of body,
+// each with a chunk extension, and with a trailer.
 func chunkedResponse(body string) string {
 	text := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, b := range body {
@@ -138,7 +142,7 @@
 	return text + "0\r\nX-Trailer: t\r\n\r\n"
 }
 
-// startListener serves connections on a port of its own until the test's end.
+// startListener serves connections on a new port until the end of the test.
 func (s *soakRun) startListener(t *testing.T, serve func(net.Conn)) (address string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/bankshift/soak_bad_client_test.go
+++ b/cmd/bankshift/soak_bad_client_test.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// smuggledRequest is a request that no client sends: it is part of another one's
-// body.
+// smuggledRequest is a request that bad clients put where another request's body
+// is expected. It must not reach a backend as a request (request smuggling).
 const smuggledRequest = "GET /api/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: hidden\r\nX-Class: retryable\r\nX-Deadline: 1\r\n\r\n"
 
-// badRequestTexts returns what bad clients send before they wait. None of them
-// begins with a request that could be served.
+// badRequestTexts returns the texts that bad clients send: malformed, incomplete or
+// ambiguous requests. None of them begins with a request that may be served.
 func badRequestTexts(id string) []string {
 	head := "POST /api/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Class: fragile\r\nX-Deadline: 1\r\n"
 	return []string{
@@ -38,7 +38,7 @@
 	}
 }
 
-// startBadClients starts clients that send what no client should.
+// startBadClients starts 4 clients that send bad requests.
 func (s *soakRun) startBadClients(clients *sync.WaitGroup, address string) {
 	for i := range 4 {
 		clients.Add(1)
@@ -49,8 +49,8 @@
 	}
 }
 
-// runBadClient sends bad requests, each on a connection of its own, until the node
-// is ordered to stop.
+// runBadClient sends bad requests, each on a connection of its own, until SIGTERM is
+// sent to the node.
 func (s *soakRun) runBadClient(address string, number int) {
 	for k := 0; ; k++ {
 		running := true
@@ -66,8 +66,9 @@
 	}
 }
 
-// sendBadRequest sends a text and checks that the node answers with an error or
-// closes the connection within 3 s. It returns false if it cannot connect.
+// sendBadRequest sends a text and checks that the node answers with an error status
+// or closes the connection within 3 s, and maxNodePause more, as the node may be
+// paused. It returns false if it cannot connect.
 func (s *soakRun) sendBadRequest(address string, number int, text string) bool {
 	const limit = 3 * time.Second
 	began := time.Now()
@@ -77,14 +78,14 @@
 	}
 	defer c.Close()
 	c.SetDeadline(began.Add(limit + maxNodePause))
-	io.WriteString(c, text) // may be cut short
+	io.WriteString(c, text) // the write may fail, as the node may close the connection early
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	s.locked(func() {
 		s.counts["bad requests"]++
 		served := err == nil && resp.StatusCode < 400
 		late := errors.Is(err, os.ErrDeadlineExceeded) && !s.over
 		if served || late {
-			s.recordViolation("bad request %d: %v, %v after %v", number, resp, err, time.Since(began))
+			s.recordViolation("bad request %d: response %v, error %v after %v, want an error status or a closed connection in time", number, resp, err, time.Since(began))
 		}
 	})
 	return true
--- a/cmd/bankshift/soak_client_test.go
+++ b/cmd/bankshift/soak_client_test.go
@@ -12,12 +12,12 @@
 )
 
 var (
-	errNoNewConnections = errors.New("the load balancer in front sends no new connections any more")
-	errClientLeft       = errors.New("the client has left")
-	errAskedToClose     = errors.New("the node has asked to close")
+	errNoNewConnections = errors.New("no new connections are made: the run is over, or the load balancer in front has stopped sending them")
+	errClientLeft       = errors.New("the client abandoned its request")
+	errAskedToClose     = errors.New("the response has Connection: close")
 )
 
-// soakClient sends one request after the other on a connection that it keeps.
+// soakClient sends one request after the other on a keep-alive connection.
 type soakClient struct {
 	*soakRun
 	address string
@@ -25,6 +25,8 @@
 	read    *bufio.Reader
 }
 
+// connect opens a connection. It returns errNoNewConnections once the run is over,
+// and from lateConnectTime after SIGTERM on.
 func (c *soakClient) connect() error {
 	allowed := true
 	c.locked(func() {
@@ -49,7 +51,7 @@
 	}
 }
 
-// run sends requests until the node is gone.
+// run sends requests until no new connections are made or the run is over.
 func (c *soakClient) run(number int) {
 	defer c.close()
 	for k := 0; ; k++ {
@@ -59,14 +61,15 @@
 		}
 		pause := c.drawMilliseconds(60)
 		if c.draw(40) == 0 {
-			pause = time.Duration(2500+c.draw(600)) * time.Millisecond // crosses the close of an idle connection
+			pause = time.Duration(2500+c.draw(600)) * time.Millisecond // may cross the idle timeout of the node
 		}
 		time.Sleep(pause)
 	}
 }
 
-// request sends one request, again where that is allowed, until it is answered or
-// given up. It reports whether to go on with further requests.
+// request sends one request until it is answered, abandoned or lost. It sends the
+// request again on a new connection where isLost allows that. It reports whether
+// the client goes on with further requests.
 func (c *soakClient) request(id string) bool {
 	class := soakClasses[c.draw(len(soakClasses))]
 	deadline := c.longestDeadline * time.Duration(40+c.draw(61)) / 100
@@ -89,26 +92,29 @@
 	}
 }
 
-// isLost reports whether a request without a response must not be sent again. That
-// is a violation, unless the run is over.
+// isLost reports whether a request without a response is lost and must not be sent
+// again: it has reached a backend, this was not its first try, or lostToKill holds.
+// A lost request is a violation, unless the run is over.
 func (c *soakClient) isLost(id string, r *soakRequest, try int, began time.Time, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	lost := len(r.attempts) > 0 || try > 0 || c.lostToKill(r)
 	if lost && !c.over {
-		c.recordViolation("%s (%s): no response after %v of %v (try %d, %d attempts): %v; %v after SIGTERM", id, r.class,
+		c.recordViolation("%s (%s): no response after %v, deadline %v (try %d, %d attempts): %v; %v after SIGTERM", id, r.class,
 			time.Since(began), r.deadline, try, len(r.attempts), err, c.sinceSIGTERM())
 	}
 	return lost
 }
 
-// lostToKill reports whether SIGKILL came while a request was unanswered that was
-// sent so late that a node may not lose it. The caller holds s.mu.
+// lostToKill reports whether an unanswered request was sent before SIGKILL and more
+// than killSlack after SIGTERM, which is so late that the node must not lose it. The
+// caller holds s.mu.
 func (s *soakRun) lostToKill(r *soakRequest) bool {
 	return !s.killedAt.IsZero() && !r.sentAt.IsZero() && r.sentAt.Before(s.killedAt) && r.sentAt.Sub(s.sigtermAt) > killSlack
 }
 
-// sinceSIGTERM returns the time since SIGTERM. The caller holds s.mu.
+// sinceSIGTERM returns the time since SIGTERM was sent, or 0 if it was not. The
+// caller holds s.mu.
 func (s *soakRun) sinceSIGTERM() time.Duration {
 	if s.sigtermAt.IsZero() {
 		return 0
@@ -116,8 +122,8 @@
 	return time.Since(s.sigtermAt)
 }
 
-// pauseBeforeReconnect waits before the next connection and reports whether the
-// run goes on.
+// pauseBeforeReconnect waits for 5 ms after a failed connect and reports whether
+// the run is still going on.
 func (c *soakClient) pauseBeforeReconnect() (running bool) {
 	time.Sleep(5 * time.Millisecond)
 	c.locked(func() { running = !c.over })
@@ -125,11 +131,11 @@
 }
 
 // exchange sends a request and reads its response. It reports whether the request
-// is done, which it is also when the client leaves. With an error the connection
-// has to be closed.
+// is done: it has been answered, or the client has abandoned it. After an error the
+// caller has to close the connection, also if the request is done.
 func (c *soakClient) exchange(id string, r *soakRequest) (done bool, err error) {
 	text := soakRequestText(id, r)
-	if c.draw(4) == 0 { // slowly
+	if c.draw(4) == 0 { // slowly, in two pieces
 		half := 1 + c.draw(len(text)-1)
 		if _, err := io.WriteString(c.conn, text[:half]); err != nil {
 			return false, err
@@ -154,7 +160,8 @@
 	return c.readResponse(id, r)
 }
 
-// soakRequestText returns a request as it is sent.
+// soakRequestText returns a request as it is sent over HTTP/1.1. Its class decides
+// the method and whether it has an Idempotency-Key.
 func soakRequestText(id string, r *soakRequest) string {
 	method, key := "POST", ""
 	switch r.class {
@@ -171,7 +178,8 @@
 	return text + "Content-Length: 4\r\n\r\nbody"
 }
 
-// readResponse reads and checks a response. The results are those of exchange.
+// readResponse reads and checks the response to a request. Its results mean the same
+// as those of exchange.
 func (c *soakClient) readResponse(id string, r *soakRequest) (done bool, err error) {
 	c.conn.SetReadDeadline(r.sentAt.Add(r.deadline + responseSlack))
 	resp, err := http.ReadResponse(c.read, nil)
@@ -189,21 +197,22 @@
 	return true, nil
 }
 
-// checkResponse counts a response and checks it against the rules. The caller
-// holds c.mu.
+// checkResponse counts a response and checks that a 200 carries its own request's
+// ID, that a fragile request is answered with 503 only if no attempt may have run,
+// and that no surplus data follows the response. The caller holds c.mu.
 func (c *soakClient) checkResponse(id string, r *soakRequest, status int, body string) {
 	c.counts[strconv.Itoa(status)]++
 	if status == http.StatusOK && body != id {
-		c.recordViolation("%s: answered with %q", id, body)
+		c.recordViolation("%s: answered with the body %q, want the ID of the request", id, body)
 	}
 	if status == http.StatusServiceUnavailable && r.class == "fragile" {
 		for _, a := range r.attempts {
 			if !a.rejected {
-				c.recordViolation("%s: rejected, though it may have run", id)
+				c.recordViolation("%s: answered with 503, though an attempt may have run", id)
 			}
 		}
 	}
 	if c.read.Buffered() > 0 {
-		c.recordViolation("%s: more than one response", id)
+		c.recordViolation("%s: data follows the response", id)
 	}
 }
--- a/cmd/bankshift/soak_delay_test.go
+++ b/cmd/bankshift/soak_delay_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// watchStalls measures, until done is closed, for how long this process is kept
-// from running: its own time stamps are late by that. It also reads the node's
-// scheduling delay.
+// watchStalls measures, until done is closed, for how long the test process is kept
+// from running: the time stamps that the test takes are late by that. It also reads
+// the node's scheduling delay.
 func (s *soakRun) watchStalls(done <-chan struct{}) {
 	const step = 5 * time.Millisecond
-	const decay = 0.995 // of the longest stall at each step: it halves in 0.7 s
+	const decay = 0.995 // factor for the longest stall at each step, which halves it in 0.7 s
 	const stepsPerReading = 10
 	for i := 0; ; i++ {
 		select {
@@ -33,8 +33,8 @@
 	}
 }
 
-// timingError returns by how much this process's time stamps may be late. The
-// caller holds s.mu.
+// timingError returns by how much the time stamps of the test process may be late.
+// The caller holds s.mu.
 func (s *soakRun) timingError() time.Duration {
 	if s.lastTick.IsZero() {
 		return 0
@@ -42,26 +42,27 @@
 	return max(s.longestStall, time.Since(s.lastTick))
 }
 
-// schedulingDelay is how long the threads of a process have waited for a
-// processor, by /proc/PID/task/TID/schedstat.
+// schedulingDelay records how long the threads of a process have waited for a CPU,
+// according to /proc/PID/task/TID/schedstat.
 type schedulingDelay struct {
 	pid     int
-	threads map[string]time.Duration // each thread's total when it was last read, by file
+	threads map[string]time.Duration // each thread's total wait when it was last read, by path of its schedstat file
 	recent  []delayReading
 }
 
-// delayReading is the longest wait of one thread since the reading before.
+// delayReading holds the longest time that any single thread has waited for a CPU
+// since the reading before.
 type delayReading struct {
 	at      time.Time
 	longest time.Duration
 }
 
-// recentDelayTime is how far back readings count.
+// recentDelayTime is the age up to which readings count.
 const recentDelayTime = 2 * time.Second
 
-// read adds a reading.
+// read adds a reading and drops those older than recentDelayTime.
 func (d *schedulingDelay) read(now time.Time) {
-	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", d.pid)) // fails on bad patterns only
+	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", d.pid)) // Glob fails only on malformed patterns
 	longest := time.Duration(0)
 	for _, file := range files {
 		total, ok := readSchedstat(file)
@@ -79,7 +80,8 @@
 	}
 }
 
-// readSchedstat returns how long a thread has waited for a processor in all.
+// readSchedstat returns how long a thread has waited for a CPU in total. ok is false
+// if the file cannot be read or parsed.
 func readSchedstat(file string) (waited time.Duration, ok bool) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -92,8 +94,8 @@
 	return time.Duration(waitedNS), true
 }
 
-// longestRecent returns the longest wait of one thread between two readings in
-// the last two seconds.
+// longestRecent returns the longest time that a single thread waited for a CPU
+// between two readings, of the readings of the last 2 s (recentDelayTime).
 func (d *schedulingDelay) longestRecent(now time.Time) (longest time.Duration) {
 	for _, r := range d.recent {
 		if now.Sub(r.at) < recentDelayTime {
--- a/cmd/bankshift/soak_discovery_test.go
+++ b/cmd/bankshift/soak_discovery_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// startDiscovery starts one more server of the endpoint list.
+// startDiscovery starts one more discovery server, which runs until the end of the
+// test. All of them serve the same endpoint list.
 func (s *soakRun) startDiscovery(t *testing.T) (address string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,7 +26,7 @@
 }
 
 // serveDiscovery answers a poll for the endpoint list. A long poll is answered as
-// soon as the list changes.
+// soon as the list changes. Until discoveryBackAt, polls are not answered.
 func (s *soakRun) serveDiscovery(w http.ResponseWriter, r *http.Request) {
 	if !s.awaitChange(r) {
 		return
@@ -43,8 +44,9 @@
 	io.WriteString(w, list)
 }
 
-// awaitChange waits, for a long poll that has the current version, until the list
-// changes or the poll's time is over. It returns false if the poll was given up.
+// awaitChange waits until a poll is to be answered: at once, or for a long poll with
+// the current version when the list changes or the poll's hold time (hold_ms) ends.
+// It returns false if the node cancels the poll meanwhile.
 func (s *soakRun) awaitChange(r *http.Request) bool {
 	from := r.URL.Query().Get("from")
 	if from == "" {
@@ -69,8 +71,8 @@
 	return true
 }
 
-// endpointList returns the current endpoint list, or with beforeDrains the list as
-// it was before any drain. The caller holds s.mu.
+// endpointList returns the current endpoint list. With beforeDrains set, all of its
+// backends are ready. The caller holds s.mu.
 func (s *soakRun) endpointList(beforeDrains bool) string {
 	var entries []string
 	for _, backend := range s.backends {
@@ -84,7 +86,8 @@
 	return fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[%s]}`, s.version, strings.Join(entries, ","))
 }
 
-// drain has the list name a backend as draining.
+// drain marks a backend as draining in the endpoint list, and releases the long
+// polls that wait for a change.
 func (s *soakRun) drain(number int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/bankshift/soak_events_test.go
+++ b/cmd/bankshift/soak_events_test.go
@@ -9,19 +9,21 @@
 	"time"
 )
 
-// pauseNode stops the process for moments until the run's end.
+// pauseNode repeatedly pauses the node process by SIGSTOP, every 100 to 500 ms for
+// 10 ms less than maxNodePause, until the run is over.
 func (s *soakRun) pauseNode(cmd *exec.Cmd) {
 	for over := false; !over; {
 		time.Sleep(time.Duration(100+s.draw(400)) * time.Millisecond)
-		cmd.Process.Signal(syscall.SIGSTOP) // fails only once it has ended
+		cmd.Process.Signal(syscall.SIGSTOP) // fails only once the process has exited
 		time.Sleep(maxNodePause - 10*time.Millisecond)
 		cmd.Process.Signal(syscall.SIGCONT)
 		s.locked(func() { over = s.over })
 	}
 }
 
-// injectEvents brings about the events of a run, in order, up to the signals after
-// SIGTERM.
+// injectEvents brings about the events of a run in order: reloads that move
+// discovery, a silent discovery, the drain of a backend, a burst of connections,
+// SIGTERM and further signals.
 func (s *soakRun) injectEvents(t *testing.T, cmd *exec.Cmd, listen string) {
 	t.Helper()
 	time.Sleep(time.Second + s.drawMilliseconds(500))
@@ -46,15 +48,17 @@
 	}
 }
 
+// sendSignal sends a signal to the node, and reports a failure without ending the
+// test.
 func sendSignal(t *testing.T, cmd *exec.Cmd, signal os.Signal) {
 	t.Helper()
 	if err := cmd.Process.Signal(signal); err != nil {
-		t.Errorf("%v: %v", signal, err)
+		t.Errorf("sending the signal %v: %v", signal, err)
 	}
 }
 
-// moveDiscovery starts one more discovery and has the node reload a configuration
-// with its address.
+// moveDiscovery starts one more discovery server and makes the node reload a
+// configuration with its address.
 func (s *soakRun) moveDiscovery(t *testing.T, cmd *exec.Cmd, listen string) {
 	t.Helper()
 	replaceFile(t, configPath(cmd), s.config(listen, s.startDiscovery(t)))
@@ -62,8 +66,8 @@
 	sendSignal(t, cmd, syscall.SIGHUP)
 }
 
-// replaceFile replaces a file by renaming, so that a reader finds the old text or
-// the new one.
+// replaceFile replaces a file atomically by renaming, so that a reader finds either
+// the old text or the new one.
 func replaceFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
@@ -74,14 +78,14 @@
 	}
 }
 
-// openConnectionBurst opens connections that carry nothing, and closes each after a
-// while.
+// openConnectionBurst opens 300 connections that carry no request, and closes each
+// after up to 3 s.
 func (s *soakRun) openConnectionBurst(t *testing.T, address string) {
 	t.Helper()
 	for range 300 {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
-			t.Errorf("a client of the crowd: %v", err)
+			t.Errorf("opening a connection of the burst: %v", err)
 			break
 		}
 		time.AfterFunc(s.drawMilliseconds(3000), func() { c.Close() })
--- a/cmd/bankshift/soak_rules_test.go
+++ b/cmd/bankshift/soak_rules_test.go
@@ -5,46 +5,48 @@
 	"time"
 )
 
-// The times and slacks that the operators' pages state.
+// Limits and tolerances that the operators' documentation states.
 const (
-	deadlineSlack       = 150 * time.Millisecond // of the deadline sent to a backend
-	responseSlack       = 500 * time.Millisecond // a response that comes later than this after its deadline is lost
-	departureSlack      = 100 * time.Millisecond // an attempt may begin this much after its client has left
-	drainGrace          = time.Second            // for the last requests to a draining backend, by the settings
-	drainGraceSlack     = 50 * time.Millisecond  // what the pages add to each limit
-	onDemandDelay       = 6 * time.Second        // a change of the list counts as known then, if it is polled on demand
-	reloadDelay         = 4 * time.Second        // and then after SIGHUP
-	maxNodePause        = 150 * time.Millisecond // for which a node may be held up
-	lateConnectTime     = 400 * time.Millisecond // for which new connections arrive after SIGTERM
-	killSlack           = 700 * time.Millisecond // SIGKILL may come this much after SIGTERM and the longest deadline
-	deduplicationWindow = time.Second            // in which backends drop the repetition of a request with a key
+	deadlineSlack       = 150 * time.Millisecond // a deadline sent to a backend may exceed what is left by this much
+	responseSlack       = 500 * time.Millisecond // a response later than this after its deadline is lost
+	departureSlack      = 100 * time.Millisecond // an attempt may begin up to this long after its client has left
+	drainGrace          = time.Second            // a setting: a draining backend may get last requests for this long
+	drainGraceSlack     = 50 * time.Millisecond  // tolerance that the documentation adds to each limit
+	onDemandDelay       = 6 * time.Second        // with polls on demand, a list change counts as known after this time
+	reloadDelay         = 4 * time.Second        // the new discovery's list counts as known this long after SIGHUP
+	maxNodePause        = 150 * time.Millisecond // the longest time that the machine may keep a node from running
+	lateConnectTime     = 400 * time.Millisecond // new connections arrive for this long after SIGTERM
+	killSlack           = 700 * time.Millisecond // SIGKILL may come at SIGTERM + longest deadline (3 s at most) + this
+	deduplicationWindow = time.Second            // within this time, backends drop a repeated request with the same key
 )
 
-// soakClasses are the classes of requests, each named after its effect in the
-// settings: idempotent, not idempotent, and idempotent by key.
+// soakClasses are the request classes, each named after its effect in the settings:
+// idempotent, not idempotent, and idempotent by its key.
 var soakClasses = []string{"retryable", "fragile", "dedup"}
 
-// soakRequest is what is known of one request.
+// soakRequest records one request of a client and the attempts that backends have
+// received for it.
 type soakRequest struct {
 	class    string
 	deadline time.Duration
-	sentAt   time.Time // when its last byte had been written; zero: not yet
-	leftAt   time.Time // when its client closed the connection; zero: it has not
+	sentAt   time.Time // when its last byte was written; zero: not yet
+	leftAt   time.Time // when its client abandoned it; zero: it has not
 	attempts []soakAttempt
 }
 
-// soakAttempt is an attempt as its backend received it.
+// soakAttempt records an attempt as its backend received it.
 type soakAttempt struct {
-	backend     int
+	backend     int // index in soakRun.backends
 	firstByteAt time.Time
 	lastByteAt  time.Time
-	deadline    time.Duration // as sent to the backend
-	rejected    bool          // with proof that it has not run
+	deadline    time.Duration // in the X-Deadline header
+	rejected    bool          // the response says by X-Not-Run that the request has not run
 }
 
-// recordViolation records a broken rule. It is excused where the machine has kept the
-// node from running for longer than a node may be held up, as the kernel's account
-// of its threads shows; that is counted. The caller holds s.mu.
+// recordViolation records a broken rule. If one of the node's threads has recently
+// waited for a CPU for longer than maxNodePause, by the kernel's scheduling
+// statistics, the machine was too busy: the violation is excused and only counted.
+// The caller holds s.mu.
 func (s *soakRun) recordViolation(format string, args ...any) {
 	if s.nodeDelay.longestRecent(time.Now()) > maxNodePause {
 		s.counts["excused: the machine was too busy"]++
@@ -60,7 +62,7 @@
 	s.counts["attempts"]++
 	r := s.requests[id]
 	if r == nil {
-		s.recordViolation("request %q, which no client sent, came to %s", id, s.backends[a.backend].name)
+		s.recordViolation("request %q, which no client sent, reached %s", id, s.backends[a.backend].name)
 		return
 	}
 	s.checkTimes(id, r, a)
@@ -69,23 +71,28 @@
 	r.attempts = append(r.attempts, a)
 }
 
-// checkTimes checks the deadline that is sent with an attempt, and that none
-// begins after its client has left. The caller holds s.mu.
+// checkTimes checks that the deadline sent with an attempt is no longer than the
+// time that its request has left, and that the attempt does not begin after its
+// client has left. Both checks allow for a slack and for the timing error of the
+// test process. The caller holds s.mu.
 func (s *soakRun) checkTimes(id string, r *soakRequest, a soakAttempt) {
 	left := r.deadline
 	if !r.sentAt.IsZero() {
 		left -= a.lastByteAt.Sub(r.sentAt)
 	}
 	if a.deadline > left+deadlineSlack+s.timingError() {
-		s.recordViolation("%s: sent with a deadline of %v where %v is left", id, a.deadline, left)
+		s.recordViolation("%s: attempt sent with a deadline of %v, but only %v of the client's is left", id, a.deadline, left)
 	}
 	if !r.leftAt.IsZero() && a.firstByteAt.Sub(r.leftAt) > departureSlack+s.timingError() {
-		s.recordViolation("%s: an attempt begins %v after its client has left", id, a.firstByteAt.Sub(r.leftAt))
+		s.recordViolation("%s: attempt begins %v after its client has left", id, a.firstByteAt.Sub(r.leftAt))
 	}
 }
 
-// checkDrain checks that no attempt goes to a backend that the node has to know as
-// draining. The caller holds s.mu.
+// checkDrain checks that no attempt reaches a backend later than the drain grace
+// after the node has to know that it is draining. The node has to know a drain when
+// discovery has it and answers, and onDemandDelay later if it polls on demand; if it
+// was sent SIGHUP before that, not earlier than reloadDelay after the signal. The
+// caller holds s.mu.
 func (s *soakRun) checkDrain(id string, a soakAttempt) {
 	backend := s.backends[a.backend]
 	if backend.drainedAt.IsZero() {
@@ -104,12 +111,13 @@
 	}
 	late := a.firstByteAt.Sub(knownAt)
 	if late > drainGrace+drainGraceSlack+s.timingError() {
-		s.recordViolation("%s: sent to %s %v after it was known as draining", id, backend.name, late)
+		s.recordViolation("%s: attempt sent to %s %v after the node had to know that it is draining", id, backend.name, late)
 	}
 }
 
-// checkRepetition checks an attempt against earlier ones that may have run. The
-// caller holds s.mu.
+// checkRepetition checks an attempt against earlier attempts of the same request
+// that may have run: a fragile request must not be repeated, and one with a key only
+// within the deduplication window. The caller holds s.mu.
 func (s *soakRun) checkRepetition(id string, r *soakRequest, a soakAttempt) {
 	for _, earlier := range r.attempts {
 		if earlier.rejected {
@@ -118,9 +126,9 @@
 		sinceEarlier := a.firstByteAt.Sub(earlier.lastByteAt)
 		switch {
 		case r.class == "fragile":
-			s.recordViolation("%s: a request that is not idempotent comes to %s after %s", id, s.backends[a.backend].name, s.backends[earlier.backend].name)
+			s.recordViolation("%s: a request that is not idempotent reached %s after %s", id, s.backends[a.backend].name, s.backends[earlier.backend].name)
 		case r.class == "dedup" && sinceEarlier > deduplicationWindow:
-			s.recordViolation("%s: a request with a key comes again after %v", id, sinceEarlier)
+			s.recordViolation("%s: a request with a key is repeated after %v, outside the deduplication window", id, sinceEarlier)
 		}
 	}
 }
--- a/cmd/bankshift/soak_test.go
+++ b/cmd/bankshift/soak_test.go
@@ -13,38 +13,38 @@
 	"time"
 )
 
-// soakRun is one run of a node from its start to its end. What happens to it is
-// drawn from a seed.
+// soakRun is one run of a node process from its start to its exit. A seed decides
+// the settings and draws the random events of the run.
 type soakRun struct {
 	seed            int64
 	onDemand        bool          // the node polls the endpoint list only on demand
-	longestDeadline time.Duration // of the classes
-	connectionBurst bool          // idle clients open connections all at once
-	pauses          bool          // the process is stopped for moments
-	abandonOneIn    int           // one in so many clients leaves early
-	silentDiscovery bool          // discovery is silent for a while, as a backend begins to drain
-	staleEndpoints  bool          // the node starts with a list that does not know of a drain
-	badClients      bool          // clients send what they should not
+	longestDeadline time.Duration // of all request classes
+	connectionBurst bool          // 300 connections that carry no request are opened at once
+	pauses          bool          // the node process is repeatedly paused by SIGSTOP, for just under maxNodePause
+	abandonOneIn    int           // one request in so many is abandoned: its client closes the connection early
+	silentDiscovery bool          // discovery does not answer for a while, during which a backend begins to drain
+	staleEndpoints  bool          // the node starts with an endpoint list that lacks the drain of backend 0
+	badClients      bool          // some clients send malformed or incomplete requests
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	rng             *rand.Rand
 	requests        map[string]*soakRequest
 	violations      []string
 	counts          map[string]int
 	backends        []*soakBackend
-	version         int           // of the endpoint list
-	changed         chan struct{} // closed by the next change of the endpoint list
-	discoveryBackAt time.Time     // discovery answers from then on
-	reloadedAt      time.Time     // the last SIGHUP
-	sigtermAt       time.Time     // SIGTERM; zero: not yet
-	killedAt        time.Time     // SIGKILL; zero: not sent
-	over            bool
-	lastTick        time.Time     // of watchStalls
-	longestStall    time.Duration // the longest recent time in which this process, the judge, did not run
+	version         int           // version of the endpoint list
+	changed         chan struct{} // closed at the next change of the endpoint list
+	discoveryBackAt time.Time     // discovery answers polls from this time on
+	reloadedAt      time.Time     // when moveDiscovery last sent SIGHUP
+	sigtermAt       time.Time     // when the first SIGTERM was sent; zero: not yet
+	killedAt        time.Time     // when SIGKILL was sent; zero: not sent
+	over            bool          // the node has exited: clients stop, and missing responses are no violations
+	lastTick        time.Time     // when watchStalls last ran
+	longestStall    time.Duration // longest recent time for which the test process did not run; it decays
 	nodeDelay       schedulingDelay
 }
 
-// newSoakRun returns the run of a seed.
+// newSoakRun returns a run whose settings follow from the seed. It is not started.
 func newSoakRun(seed int64) *soakRun {
 	longestDeadlines := []time.Duration{300 * time.Millisecond, time.Second, 3500 * time.Millisecond}
 	return &soakRun{
@@ -83,8 +83,8 @@
 	return time.Duration(s.draw(n)) * time.Millisecond
 }
 
-// config returns the node's configuration, with the endpoint list as it was
-// before any drain.
+// config returns the node's configuration. Its endpoint list is the one before any
+// drain.
 func (s *soakRun) config(listen, discovery string) string {
 	mode := "pushed"
 	if s.onDemand {
@@ -105,8 +105,8 @@
 		listen, discovery, s.seed, s.endpointList(true), mode, drainGrace, strings.Join(classes, ","))
 }
 
-// runNode runs a node from its start to its end, which is SIGKILL at the earliest
-// time that the node may expect it.
+// runNode runs a node process with its backends, clients and events, until the
+// process exits or is sent SIGKILL.
 func (s *soakRun) runNode(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
@@ -128,7 +128,7 @@
 	defer cmd.Process.Kill()
 	p := &process{address: listen, ended: make(chan struct{})}
 	if !p.awaitReady(t, readyLimit) {
-		t.Fatalf("not ready; its log is\n%s", &log)
+		t.Fatalf("the node is not ready within %v; its log is\n%s", readyLimit, &log)
 	}
 	clients := s.startClients(listen)
 	if s.pauses {
@@ -139,9 +139,9 @@
 	}
 	s.injectEvents(t, cmd, listen)
 	if err := s.awaitExit(cmd, ended); err != nil {
-		t.Errorf("it ends with %v; its log is\n%s", err, &log)
+		t.Errorf("the node exits with %v, want status 0; its log is\n%s", err, &log)
 	}
-	time.Sleep(50 * time.Millisecond) // until clients have seen which requests are unanswered
+	time.Sleep(50 * time.Millisecond) // lets clients notice which requests are unanswered
 	s.locked(func() { s.over = true })
 	clients.Wait()
 }
@@ -157,7 +157,7 @@
 	}
 }
 
-// startClients starts the good clients of a node.
+// startClients starts the clients that send valid requests.
 func (s *soakRun) startClients(address string) *sync.WaitGroup {
 	var clients sync.WaitGroup
 	for i := range 24 {
@@ -170,9 +170,9 @@
 	return &clients
 }
 
-// awaitExit waits until the node has exited after SIGTERM, and kills it at the
-// earliest time that it may expect. It returns the error of a node that exits by
-// itself.
+// awaitExit waits until the node has exited after SIGTERM. At the earliest time at
+// which SIGKILL may come it kills a node that is still running, and returns nil.
+// Otherwise it returns the error with which the node has exited.
 func (s *soakRun) awaitExit(cmd *exec.Cmd, ended <-chan error) error {
 	kill := min(s.longestDeadline, 3*time.Second) + killSlack
 	select {
@@ -189,12 +189,13 @@
 	return nil
 }
 
-// report fails the test for each violation, and where hardly anything was served.
+// report fails the test for each violation, and if fewer than a quarter of the
+// requests were answered with 200.
 func (s *soakRun) report(t *testing.T) {
 	const maxReported = 20
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t.Log(s.counts, "stalled", s.longestStall)
+	t.Log(s.counts, "longest recent stall of the test process:", s.longestStall)
 	for i, violation := range s.violations {
 		t.Error(violation)
 		if i == maxReported {
@@ -202,14 +203,16 @@
 		}
 	}
 	if s.counts["200"] < s.counts["requests"]/4 {
-		t.Errorf("hardly anything is served: %v", s.counts)
+		t.Errorf("fewer than a quarter of the requests were answered with 200: %v", s.counts)
 	}
 }
 
-// TestSoak runs nodes among backends that hang, fail and reset, clients that
-// leave, write slowly and pause, endpoint lists that change, series of reloads,
-// crowds, series of signals, and SIGKILL at the earliest. SOAK_SEEDS sets how many
-// runs there are, and SOAK_FIRST the first seed; the default is short.
+// TestSoak guards against lost, wrongly repeated and late requests, and against
+// broken limits, when several faults coincide. It runs node processes with backends
+// that hang, fail and reset, clients that leave, write slowly and pause, changing
+// endpoint lists, several reloads, bursts of connections, several signals in a row,
+// and SIGKILL at the earliest time allowed. SOAK_SEEDS sets the number of runs and
+// SOAK_FIRST the first seed; the default is the 6 runs from seed 1.
 func TestSoak(t *testing.T) {
 	seeds, first := 6, int64(1)
 	if n, err := strconv.Atoi(os.Getenv("SOAK_SEEDS")); err == nil {
