--- a/cmd/bankshift/environment_test.go
+++ b/cmd/bankshift/environment_test.go
@@ -20,7 +20,7 @@
 // server, whose answers can be withheld, and a backend.
 type environment struct {
 	discovery   string       // address of the discovery server
-	backend     string       // address
+	backend     string       // address of the backend
 	endpoints   string       // the endpoint list that discovery answers with
 	polls       atomic.Int32 // number of requests that discovery has received
 	discoveryUp atomic.Bool  // if false, discovery accepts connections and never answers
@@ -77,7 +77,7 @@
 }
 
 // refusingAddress returns an address that refuses connections: its port is bound,
-// so that nobody else can take it, and nothing listens on it.
+// so that no other socket can take it, and nothing listens on it.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
--- a/cmd/bankshift/log_unread_test.go
+++ b/cmd/bankshift/log_unread_test.go
@@ -85,7 +85,7 @@
 			mustSignal(t, cmd, syscall.SIGTERM)
 			select {
 			case <-p.ended:
-			case <-time.After(time.Second + killSlack): // the longest deadline, and killSlack more
+			case <-time.After(time.Second + killSlack): // the earliest SIGKILL after a longest deadline of 1 s
 				t.Fatal("the program is still running at the earliest SIGKILL")
 			}
 			if exit != nil {
--- a/cmd/bankshift/main.go
+++ b/cmd/bankshift/main.go
@@ -47,7 +47,7 @@
 func run(logOutput io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	signal.Ignore(syscall.SIGPIPE) // a log line written after the log's reader has exited would end the process
+	signal.Ignore(syscall.SIGPIPE) // otherwise logging after the log's reader has exited would end the process
 	// Registered before the configuration is loaded, and never released: by default
 	// SIGHUP would end the process.
 	reload := make(chan os.Signal, 1)
--- a/cmd/bankshift/restart_test.go
+++ b/cmd/bankshift/restart_test.go
@@ -13,8 +13,8 @@
 // TestReadyAfterARestart guards against a process that waits for discovery before
 // it is ready although its configuration names endpoints: it has to be ready within
 // readyLimit whether discovery answers, refuses connections or is silent. Without
-// endpoints in its configuration, a process must not be ready before discovery has
-// sent some, as it could only reject requests.
+// endpoints in its configuration, a process has to be ready within readyLimit once
+// discovery answers, and not before, as it could only reject requests.
 func TestReadyAfterARestart(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		for _, endpoints := range []int{60, 4500} {
