--- a/cmd/bankshift/soak_bad_client_test.go
+++ b/cmd/bankshift/soak_bad_client_test.go
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// hiddenRequest is a request that no client sends: it is part of another one's
-// body.
-const hiddenRequest = "GET /api/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: hidden\r\nX-Class: retryable\r\nX-Deadline: 1\r\n\r\n"
+// smuggledRequest is a request that bad clients put where another request's body
+// is expected. It must not reach a backend as a request (request smuggling).
+const smuggledRequest = "GET /api/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: hidden\r\nX-Class: retryable\r\nX-Deadline: 1\r\n\r\n"
 
-// badRequestTexts returns what bad clients send before they wait. None of them
-// begins with a request that could be served.
+// badRequestTexts returns the texts that bad clients send: malformed, incomplete or
+// ambiguous requests. None of them begins with a request that may be served.
 func badRequestTexts(id string) []string {
 	head := "POST /api/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Class: fragile\r\nX-Deadline: 1\r\n"
 	return []string{
 		"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 noise\r\n\r\n",
 		"GET /api/x HTTP/1.1\r\nHost: h\r\nX-Long: " + strings.Repeat("x", 60<<10),
-		head + fmt.Sprintf("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", hiddenRequest),
-		head + fmt.Sprintf("Content-Length: %d\r\nContent-Length: 0\r\n\r\n%s", len(hiddenRequest), hiddenRequest),
-		head + "Content-Length: -1\r\n\r\n" + hiddenRequest,
+		head + fmt.Sprintf("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", smuggledRequest),
+		head + fmt.Sprintf("Content-Length: %d\r\nContent-Length: 0\r\n\r\n%s", len(smuggledRequest), smuggledRequest),
+		head + "Content-Length: -1\r\n\r\n" + smuggledRequest,
 		head + "Content-Length: 99999999999999999999\r\n\r\n",
 		head + fmt.Sprintf("Content-Length: %d\r\n\r\nhalf", 60<<20),
 		strings.Replace(head, "X-Deadline: 1", "X-Deadline: soon", 1) + "Content-Length: 4\r\n\r\nbody",
@@ -38,7 +38,7 @@
 	}
 }
 
-// startBadClients starts clients that send what no client should.
+// startBadClients starts 4 clients that send bad requests.
 func (s *soakRun) startBadClients(clients *sync.WaitGroup, address string) {
 	for i := range 4 {
 		clients.Add(1)
@@ -49,13 +49,13 @@
 	}
 }
 
-// runBadClient sends bad requests, each on a connection of its own, until the node
-// is ordered to stop.
+// runBadClient sends bad requests, each on a connection of its own, until SIGTERM is
+// sent to the node.
 func (s *soakRun) runBadClient(address string, number int) {
 	for k := 0; ; k++ {
-		goOn := true
-		s.locked(func() { goOn = !s.over && s.stopOrderedAt.IsZero() })
-		if !goOn {
+		running := true
+		s.locked(func() { running = !s.over && s.sigtermAt.IsZero() })
+		if !running {
 			return
 		}
 		texts := badRequestTexts(fmt.Sprintf("bad-%d-%d", number, k))
@@ -66,8 +66,9 @@
 	}
 }
 
-// sendBadRequest sends a text and checks that the node answers with an error or
-// closes the connection within 3 s. It returns false if it cannot connect.
+// sendBadRequest sends a text and checks that the node answers with an error status
+// or closes the connection within 3 s, and maxNodePause more, as the node may be
+// paused. It returns false if it cannot connect.
 func (s *soakRun) sendBadRequest(address string, number int, text string) bool {
 	const limit = 3 * time.Second
 	began := time.Now()
@@ -76,15 +77,15 @@
 		return false
 	}
 	defer c.Close()
-	c.SetDeadline(began.Add(limit + holdUpTime))
-	io.WriteString(c, text) // may be cut short
+	c.SetDeadline(began.Add(limit + maxNodePause))
+	io.WriteString(c, text) // the write may fail, as the node may close the connection early
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	s.locked(func() {
 		s.counts["bad requests"]++
 		served := err == nil && resp.StatusCode < 400
 		late := errors.Is(err, os.ErrDeadlineExceeded) && !s.over
 		if served || late {
-			s.violation("bad request %d: %v, %v after %v", number, resp, err, time.Since(began))
+			s.recordViolation("bad request %d: response %v, error %v after %v, want an error status or a closed connection in time", number, resp, err, time.Since(began))
 		}
 	})
 	return true
