--- a/internal/lab/emulator/conn.go
+++ b/internal/lab/emulator/conn.go
@@ -40,7 +40,7 @@
 // Write sends b and counts the bytes. On a vanished machine it discards b and
 // reports success.
 func (c *conn) Write(b []byte) (int, error) {
-	if c.owner.isSilent() {
+	if c.owner.isBlackholed() {
 		return len(b), nil
 	}
 	n, err := c.TCPConn.Write(b)
@@ -56,7 +56,7 @@
 func (c *conn) Close() error {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
-	if c.owner.silent {
+	if c.owner.blackholed {
 		c.owner.unclosed = append(c.owner.unclosed, c.TCPConn)
 		return nil
 	}
--- a/internal/lab/emulator/listener.go
+++ b/internal/lab/emulator/listener.go
@@ -26,7 +26,7 @@
 	mu              sync.Mutex
 	listener        *listener // while serving, else nil
 	releaseHeldPort func()    // while not serving: frees the port for listener
-	silent          bool      // the machine has vanished: connections stay open and nothing is sent
+	blackholed      bool      // the machine has vanished: connections stay open and nothing is sent
 	closed          bool
 	conns           map[*conn]struct{}
 	unclosed        []*net.TCPConn // closed by the process while silent; still open on the network
@@ -63,14 +63,14 @@
 			c.requestStart.Store(time.Now().UnixNano())
 		case http.StateClosed:
 			onClose(c)
-			f.forget(c)
+			f.removeConn(c)
 		}
 	}
 	f.serve(ln)
 	return nil
 }
 
-func (f *faultListener) forget(c *conn) {
+func (f *faultListener) removeConn(c *conn) {
 	f.mu.Lock()
 	delete(f.conns, c)
 	f.mu.Unlock()
@@ -92,7 +92,7 @@
 // connections are reset and new ones refused. With silent true it imitates a
 // vanished machine: connections stay open without traffic, and new ones are
 // never established.
-func (f *faultListener) stop(silent bool) {
+func (f *faultListener) stop(blackholed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
@@ -100,11 +100,11 @@
 	}
 	f.closeListener()
 	f.releasePort()
-	f.silent = silent
-	if !silent {
+	f.blackholed = blackholed
+	if !blackholed {
 		f.resetConnsLocked()
 	}
-	release, err := holdPort(f.addr, silent)
+	release, err := holdPort(f.addr, blackholed)
 	f.releaseHeldPort = release
 	if err != nil {
 		f.err = errors.Join(f.err, err)
@@ -118,7 +118,7 @@
 	if f.closed || f.listener != nil {
 		return
 	}
-	f.silent = false
+	f.blackholed = false
 	f.resetConnsLocked()
 	f.releasePort()
 	ln, err := net.ListenTCP("tcp", f.addr)
@@ -129,11 +129,11 @@
 	f.serve(ln)
 }
 
-// isSilent reports whether the machine has vanished.
-func (f *faultListener) isSilent() bool {
+// isBlackholed reports whether the machine has vanished.
+func (f *faultListener) isBlackholed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.silent
+	return f.blackholed
 }
 
 // resetConns resets all connections, as when a process is replaced by another
@@ -176,7 +176,7 @@
 func (f *faultListener) close() error {
 	f.mu.Lock()
 	f.closed = true
-	f.silent = false
+	f.blackholed = false
 	f.closeListener()
 	f.releasePort()
 	f.resetConnsLocked()
--- a/internal/lab/emulator/port.go
+++ b/internal/lab/emulator/port.go
@@ -13,9 +13,9 @@
 // are never established: the accept queue holds one connection, which is
 // taken, and TCP drops the rest. release gives the port up; it is nil if
 // holdPort fails.
-func holdPort(addr *net.TCPAddr, silent bool) (release func(), err error) {
+func holdPort(addr *net.TCPAddr, blackholed bool) (release func(), err error) {
 	held := &heldPort{}
-	if err := held.bind(addr, silent); err != nil {
+	if err := held.bind(addr, blackholed); err != nil {
 		held.release()
 		return nil, fmt.Errorf("emulator: holding %v: %w", addr, err)
 	}
@@ -27,7 +27,7 @@
 	fds []int
 }
 
-func (h *heldPort) bind(addr *net.TCPAddr, silent bool) error {
+func (h *heldPort) bind(addr *net.TCPAddr, blackholed bool) error {
 	sockaddr := &syscall.SockaddrInet4{Port: addr.Port, Addr: [4]byte(addr.IP.To4())}
 	fd, err := h.socket()
 	if err != nil {
@@ -39,7 +39,7 @@
 	if err := syscall.Bind(fd, sockaddr); err != nil {
 		return os.NewSyscallError("bind", err)
 	}
-	if !silent {
+	if !blackholed {
 		return nil
 	}
 	if err := syscall.Listen(fd, 0); err != nil {
--- a/internal/lab/emulator/registry_test.go
+++ b/internal/lab/emulator/registry_test.go
@@ -37,8 +37,8 @@
 	return c, e
 }
 
-// list is a response of the registry, or the error of the call.
-type list struct {
+// listResponse is a response of the registry, or the error of the call.
+type listResponse struct {
 	Index     uint64
 	Snapshot  bool
 	Endpoints []model.Entry
@@ -46,39 +46,39 @@
 }
 
 // call calls the registry for a node, without waiting for the response.
-func (c *registryClient) call(ctx context.Context, node int, query string) <-chan list {
-	response := make(chan list, 1)
+func (c *registryClient) call(ctx context.Context, node int, query string) <-chan listResponse {
+	response := make(chan listResponse, 1)
 	go func() { response <- c.get(ctx, node, query) }()
 	return response
 }
 
-func (c *registryClient) get(ctx context.Context, node int, query string) (l list) {
+func (c *registryClient) get(ctx context.Context, node int, query string) (l listResponse) {
 	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+c.registry.Addr(node)+"/registry/instances"+query, nil)
 	if err != nil {
-		return list{err: err}
+		return listResponse{err: err}
 	}
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
-		return list{err: err}
+		return listResponse{err: err}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return list{err: errors.New(resp.Status)}
+		return listResponse{err: errors.New(resp.Status)}
 	}
 	l.err = json.NewDecoder(resp.Body).Decode(&l)
 	return l
 }
 
 // watch calls for what is newer than a version, and waits until it is held.
-func (c *registryClient) watch(ctx context.Context, node int, version uint64) <-chan list {
+func (c *registryClient) watch(ctx context.Context, node int, version uint64) <-chan listResponse {
 	c.t.Helper()
 	response := c.call(ctx, node, fmt.Sprintf("?from=%d&hold_ms=60000", version))
-	waitFor(c.t, "the call is held", func() bool { return c.registry.held() == 1 })
+	waitFor(c.t, "the call is held", func() bool { return c.registry.heldCalls() == 1 })
 	return response
 }
 
-// held counts the calls that wait.
-func (r *Registry) held() (n int) {
+// heldCalls counts the calls that wait.
+func (r *Registry) heldCalls() (n int) {
 	r.withModel(func(time.Duration) { n = r.model.HeldCalls() })
 	return n
 }
--- a/internal/lab/emulator/request.go
+++ b/internal/lab/emulator/request.go
@@ -59,7 +59,7 @@
 	if outcome != model.Accepted {
 		return outcome
 	}
-	accepted := &request{id: id, reply: make(chan model.Reply, 1)}
+	accepted := &pendingRequest{id: id, reply: make(chan model.Reply, 1)}
 	s.withModel(func(now time.Duration) {
 		s.lastID++
 		work.ID = s.lastID
@@ -106,7 +106,7 @@
 		}
 		panic(http.ErrAbortHandler)
 	default:
-		if !c.owner.isSilent() {
+		if !c.owner.isBlackholed() {
 			c.reset()
 		}
 		panic(http.ErrAbortHandler)
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -41,13 +41,13 @@
 	listening bool // the listener serves
 	starts    int  // the model's count of starts that the listener has followed
 	lastID    uint64
-	waiting   map[uint64]*request // by model.Work.ID
-	timer     *time.Timer         // fires at the model's Next
+	waiting   map[uint64]*pendingRequest // by model.Work.ID
+	timer     *time.Timer                // fires at the model's Next
 	closed    bool
 }
 
-// request is one that the model has accepted.
-type request struct {
+// pendingRequest is one that the model has accepted.
+type pendingRequest struct {
 	id    string
 	reply chan model.Reply // has room for the one reply
 }
@@ -67,7 +67,7 @@
 	if cfg.ResponseBytes > maxBodyBytes {
 		return nil, fmt.Errorf("emulator: responses of %d bytes, want at most %d", cfg.ResponseBytes, maxBodyBytes)
 	}
-	s := &Server{cfg: cfg, done: make(chan struct{}), listening: true, waiting: map[uint64]*request{}}
+	s := &Server{cfg: cfg, done: make(chan struct{}), listening: true, waiting: map[uint64]*pendingRequest{}}
 	modelConfig := cfg.ServerConfig
 	modelConfig.OnStart = s.onStart
 	s.model = model.NewServer(modelConfig, cfg.Rand)
@@ -143,7 +143,7 @@
 		s.listening = true
 	case s.listening && s.starts != starts:
 		s.listener.resetConns()
-	case !s.listening && s.listener.isSilent() != s.model.Lost():
+	case !s.listening && s.listener.isBlackholed() != s.model.Lost():
 		s.listener.stop(s.model.Lost())
 	}
 	s.starts = starts
--- a/internal/lab/emulator/server_test.go
+++ b/internal/lab/emulator/server_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestVanishedMachine(t *testing.T) {
+func TestDisconnect(t *testing.T) {
 	checkGoroutineLeaks(t)
 	s := newServer(t, ServerConfig{ServerConfig: model.ServerConfig{QueueLimit: 9, IdleTimeout: 2 * quietPeriod}})
 	busy, idle := dial(t, s.Addr()), dial(t, s.Addr())
@@ -93,8 +93,8 @@
 	waitFor(t, "the work begins", func() bool { st := s.Stats(); return st.Running == 1 && st.Connections == 2 })
 	s.Disconnect()
 	for range 3 {
-		var late net.Error
-		if _, err := net.DialTimeout("tcp", s.Addr(), quietPeriod); !errors.As(err, &late) || !late.Timeout() {
+		var netErr net.Error
+		if _, err := net.DialTimeout("tcp", s.Addr(), quietPeriod); !errors.As(err, &netErr) || !netErr.Timeout() {
 			t.Errorf("a connection to a vanished machine: %v", err)
 		}
 	}
@@ -186,7 +186,7 @@
 
 func TestManyServers(t *testing.T) {
 	checkGoroutineLeaks(t)
-	const servers, each = 100, 5
+	const servers, requestsPerServer = 100, 5
 	var executions ExecutionLog
 	var wg sync.WaitGroup
 	transport := &http.Transport{}
@@ -196,7 +196,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for i := range each {
+			for i := range requestsPerServer {
 				req, _ := http.NewRequest("GET", "http://"+s.Addr()+"/", nil)
 				req.Header.Set("X-Request-Id", fmt.Sprint(n, "-", i))
 				resp, err := transport.RoundTrip(req)
@@ -210,7 +210,7 @@
 		}()
 	}
 	wg.Wait()
-	if a := executions.Summary(); a.Executions != servers*each || a.Repeated != 0 {
+	if a := executions.Summary(); a.Executions != servers*requestsPerServer || a.Repeated != 0 {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/lab/load/conns.go
+++ b/internal/lab/load/conns.go
@@ -10,12 +10,12 @@
 	"syscall"
 )
 
-// nodeConns is the clients' connections to one node.
-type nodeConns struct {
+// connPool is the clients' connections to one node.
+type connPool struct {
 	mu      sync.Mutex
 	idle    []*conn // the one used last comes last
 	open    int     // idle, in use or being dialled
-	waiting []chan *conn
+	waiters []chan *conn
 }
 
 // conn is a connection to a node. It carries one request at a time.
@@ -26,21 +26,21 @@
 	used    bool // it has carried a request
 }
 
-func (p *player) connsOf(node int) *nodeConns {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	n := p.conns[node]
-	if n == nil {
-		n = &nodeConns{}
-		p.conns[node] = n
+func (g *generator) poolOf(node int) *connPool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	pool := g.pools[node]
+	if pool == nil {
+		pool = &connPool{}
+		g.pools[node] = pool
 	}
-	return n
+	return pool
 }
 
 // close closes the idle connections, once all requests have ended.
-func (p *player) close() {
-	for _, n := range p.conns {
-		for _, c := range n.idle {
+func (g *generator) close() {
+	for _, pool := range g.pools {
+		for _, c := range pool.idle {
 			c.Close()
 		}
 	}
@@ -49,26 +49,26 @@
 // take returns a connection for one request: an idle one, unless fresh is set,
 // or a new one. If all that may be open are busy, it waits for one. The caller
 // returns the connection with put.
-func (p *player) take(ctx context.Context, n *nodeConns, address string, fresh bool) (*conn, error) {
-	c, turn := n.takeOrReserve(address, fresh, p.Connections)
+func (g *generator) take(ctx context.Context, pool *connPool, address string, fresh bool) (*conn, error) {
+	c, waiter := pool.takeOrReserve(address, fresh, g.Connections)
 	if c != nil {
 		return c, nil
 	}
-	if turn == nil {
-		return p.dial(ctx, n, address)
+	if waiter == nil {
+		return g.dial(ctx, pool, address)
 	}
-	p.countWaited()
+	g.countWaited()
 	select {
-	case c := <-turn:
+	case c := <-waiter:
 		if c != nil && c.usable(address) {
 			return c, nil
 		}
 		if c != nil {
 			c.Close()
 		}
-		return p.dial(ctx, n, address) // c's place among the open ones is handed over
+		return g.dial(ctx, pool, address) // c's place among the open ones is handed over
 	case <-ctx.Done():
-		n.abandonWait(turn)
+		pool.abandonWait(waiter)
 		return nil, ctx.Err()
 	}
 }
@@ -76,74 +76,74 @@
 // takeOrReserve returns an idle connection, or nothing with a place reserved
 // among the open ones, or else a channel that delivers one of the two: a
 // connection or nil.
-func (n *nodeConns) takeOrReserve(address string, fresh bool, limit int) (*conn, chan *conn) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for !fresh && len(n.idle) > 0 {
-		last := len(n.idle) - 1
-		c := n.idle[last]
-		n.idle = n.idle[:last]
+func (p *connPool) takeOrReserve(address string, fresh bool, limit int) (*conn, chan *conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for !fresh && len(p.idle) > 0 {
+		last := len(p.idle) - 1
+		c := p.idle[last]
+		p.idle = p.idle[:last]
 		if c.usable(address) {
 			return c, nil
 		}
 		c.Close()
-		n.open--
+		p.open--
 	}
-	if n.open >= limit {
-		turn := make(chan *conn, 1)
-		n.waiting = append(n.waiting, turn)
-		return nil, turn
+	if p.open >= limit {
+		waiter := make(chan *conn, 1)
+		p.waiters = append(p.waiters, waiter)
+		return nil, waiter
 	}
-	n.open++
+	p.open++
 	return nil, nil
 }
 
-func (p *player) countWaited() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.report.Waited++
+func (g *generator) countWaited() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.report.Waited++
 }
 
 // dial opens a connection in a reserved place, which it gives up if it fails.
-func (p *player) dial(ctx context.Context, n *nodeConns, address string) (*conn, error) {
+func (g *generator) dial(ctx context.Context, pool *connPool, address string) (*conn, error) {
 	nc, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", address)
 	if err != nil {
-		n.put(nil)
+		pool.put(nil)
 		return nil, err
 	}
-	p.mu.Lock()
-	p.report.Dials++
-	p.mu.Unlock()
+	g.mu.Lock()
+	g.report.Dials++
+	g.mu.Unlock()
 	return &conn{Conn: nc, address: address, reader: bufio.NewReader(nc)}, nil
 }
 
 // put takes back a connection that may carry another request, or with nil the
 // place of one that was closed.
-func (n *nodeConns) put(c *conn) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if len(n.waiting) > 0 {
-		n.waiting[0] <- c
-		n.waiting = n.waiting[1:]
+func (p *connPool) put(c *conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.waiters) > 0 {
+		p.waiters[0] <- c
+		p.waiters = p.waiters[1:]
 		return
 	}
 	if c == nil {
-		n.open--
+		p.open--
 		return
 	}
-	n.idle = append(n.idle, c)
+	p.idle = append(p.idle, c)
 }
 
 // abandonWait gives up a wait. What was delivered meanwhile goes to the next.
-func (n *nodeConns) abandonWait(turn chan *conn) {
-	n.mu.Lock()
-	i := slices.Index(n.waiting, turn)
+func (p *connPool) abandonWait(waiter chan *conn) {
+	p.mu.Lock()
+	i := slices.Index(p.waiters, waiter)
 	if i >= 0 {
-		n.waiting = slices.Delete(n.waiting, i, i+1)
+		p.waiters = slices.Delete(p.waiters, i, i+1)
 	}
-	n.mu.Unlock()
+	p.mu.Unlock()
 	if i < 0 {
-		n.put(<-turn)
+		p.put(<-waiter)
 	}
 }
 
--- a/internal/lab/load/exchange.go
+++ b/internal/lab/load/exchange.go
@@ -38,8 +38,8 @@
 	serviceTime time.Duration // as the server reports it; 0: unknown
 }
 
-// run sends the request and reads its response. It ends with ctx.
-func (p *player) run(ctx context.Context, e *exchange) (response, error) {
+// roundTrip sends the request and reads its response. It ends with ctx.
+func (g *generator) roundTrip(ctx context.Context, e *exchange) (response, error) {
 	c := e.conn
 	c.used = true
 	until, _ := ctx.Deadline()
@@ -56,21 +56,21 @@
 			e.reusable = false // AfterFunc may still change its deadline
 		}
 	}()
-	if _, err := c.Write(e.encode(p.MarkRetries && e.isRetry)); err != nil {
+	if _, err := c.Write(e.encode(g.MarkRetries && e.isRetry)); err != nil {
 		return response{}, fmt.Errorf("sending: %w", err)
 	}
 	if _, err := c.reader.Peek(1); err != nil {
 		return response{}, fmt.Errorf("waiting for an answer: %w", err)
 	}
 	e.responseBegan = true
-	resp, err := p.readResponse(e)
+	resp, err := g.readResponse(e)
 	if err != nil {
 		return response{}, fmt.Errorf("reading the answer: %w", err)
 	}
 	return resp, nil
 }
 
-func (p *player) readResponse(e *exchange) (response, error) {
+func (g *generator) readResponse(e *exchange) (response, error) {
 	resp, err := http.ReadResponse(e.conn.reader, nil)
 	if err != nil {
 		return response{}, err
@@ -88,8 +88,8 @@
 		endedAt:    time.Now(),
 		retryAfter: parseSeconds(resp.Header.Get("Retry-After")),
 	}
-	if p.ServiceTimeHeader != "" {
-		r.serviceTime = parseSeconds(resp.Header.Get(p.ServiceTimeHeader))
+	if g.ServiceTimeHeader != "" {
+		r.serviceTime = parseSeconds(resp.Header.Get(g.ServiceTimeHeader))
 	}
 	return r, nil
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -23,10 +23,10 @@
 	t.Helper()
 	s := httptest.NewServer(f)
 	t.Cleanup(s.Close)
-	return to(s.Listener.Addr().String())
+	return routeTo(s.Listener.Addr().String())
 }
 
-func to(address string) func(*Request, int) (int, string) {
+func routeTo(address string) func(*Request, int) (int, string) {
 	return func(r *Request, _ int) (int, string) { return r.Node, address }
 }
 
@@ -54,14 +54,14 @@
 	return r
 }
 
-// TestIsOpenLoop: a node that stalls delays no request, and is charged for all
+// TestOpenLoop: a node that stalls delays no request, and is charged for all
 // that waited.
-func TestIsOpenLoop(t *testing.T) {
+func TestOpenLoop(t *testing.T) {
 	const n, stall = 40, 300 * time.Millisecond
 	var received atomic.Int32
 	stalled := make(chan struct{})
 	all := make(chan struct{})
-	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	route := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if received.Add(1) == n {
 			close(all)
 		}
@@ -72,7 +72,7 @@
 		time.Sleep(stall)
 		close(stalled)
 	}()
-	r := play(t, Config{Route: address}, stream(n, time.Millisecond, nil))
+	r := play(t, Config{Route: route}, stream(n, time.Millisecond, nil))
 	if r.Served != n || r.Dials != n || time.Duration(r.Latency["all"].Min()) < stall*9/10 {
 		t.Errorf("%d served over %d connections, the fastest after %v", r.Served, r.Dials, time.Duration(r.Latency["all"].Min()))
 	}
@@ -82,19 +82,19 @@
 // the same time wait for each other, and that counts.
 func TestLatencyIsFromTheIntendedTime(t *testing.T) {
 	const n, took = 5, 30 * time.Millisecond
-	address := serve(t, func(w http.ResponseWriter, r *http.Request) { time.Sleep(took) })
-	r := play(t, Config{Route: address, Connections: 1}, stream(n, 0, nil))
+	route := serve(t, func(w http.ResponseWriter, r *http.Request) { time.Sleep(took) })
+	r := play(t, Config{Route: route, Connections: 1}, stream(n, 0, nil))
 	if r.Served != n || r.Dials != 1 || r.Waited != n-1 || time.Duration(r.Latency["all"].Max()) < n*took*9/10 {
 		t.Errorf("%d served over %d connections, %d waited, the slowest after %v", r.Served, r.Dials, r.Waited,
 			time.Duration(r.Latency["all"].Max()))
 	}
 }
 
-// TestSpeaksTheProtocol checks what goes over the wire for each kind of idempotency.
-func TestSpeaksTheProtocol(t *testing.T) {
+// TestRequestsOnTheWire checks what goes over the wire for each kind of idempotency.
+func TestRequestsOnTheWire(t *testing.T) {
 	var mu sync.Mutex
 	seen := map[string]string{}
-	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	route := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		mu.Lock()
 		defer mu.Unlock()
@@ -105,7 +105,7 @@
 	s := stream(3, 0, nil)
 	s[1].Idempotency, s[1].Key, s[1].Tenant = IdempotentByKey, "k-1", "t-1"
 	s[2].Idempotency, s[2].Class, s[2].Headers = NotIdempotent, "pay", []Header{{"X-Work", "7"}}
-	play(t, Config{Route: address}, s)
+	play(t, Config{Route: route}, s)
 	for id, want := range map[string]string{
 		"q-0": "GET /api/u HTTP/1.1 read t= k= h= d=%s body=false",
 		"q-1": "POST /api/u HTTP/1.1 read t=t-1 k=k-1 h= d=%s body=true",
@@ -117,13 +117,13 @@
 	}
 }
 
-// TestRejectedClientsRetry: under a new id, after Retry-After or the backoff, as
+// TestRetryAfterRejection: under a new id, after Retry-After or the backoff, as
 // often as Retries allows.
-func TestRejectedClientsRetry(t *testing.T) {
+func TestRetryAfterRejection(t *testing.T) {
 	var mu sync.Mutex
 	var ids []string
 	var marks int
-	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	route := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		ids = append(ids, r.Header.Get("X-Request-Id"))
@@ -136,7 +136,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 	began := time.Now()
-	r := play(t, Config{Route: address, Retries: 2, Backoff: 20 * time.Millisecond, MarkRetries: true}, stream(1, 0, nil))
+	r := play(t, Config{Route: route, Retries: 2, Backoff: 20 * time.Millisecond, MarkRetries: true}, stream(1, 0, nil))
 	if took := time.Since(began); r.Rejected != 1 || r.Tries != 3 || marks != 2 || !slices.Equal(ids, []string{"q-0", "q-0-1", "q-0-2"}) ||
 		took < 70*time.Millisecond {
 		t.Errorf("%+v with %v, %d marked, in %v", r, ids, marks, took)
@@ -147,7 +147,7 @@
 // RetryOnFailure allows another; any other failure is final. Route is called
 // with the number of the try.
 func TestRetriesAfterFailure(t *testing.T) {
-	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	route := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Retry") == "" {
 			w.WriteHeader(http.StatusBadGateway)
 		}
@@ -165,7 +165,7 @@
 			if c.deadNode && try == 0 {
 				return 1, "127.0.0.1:1"
 			}
-			return address(r, try)
+			return route(r, try)
 		}, Done: func(_ int, _ *Request, got Result) { o = got }}, s)
 		if o.Outcome != c.outcome || o.Tries != c.tries {
 			t.Errorf("%s: %+v, want %s after %d tries", c.name, o, c.outcome, c.tries)
@@ -174,7 +174,7 @@
 }
 
 func TestOutcomes(t *testing.T) {
-	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	route := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.Header.Get("X-Class") {
 		case "502":
 			w.WriteHeader(http.StatusBadGateway)
@@ -201,7 +201,7 @@
 		if r.Node == 1 {
 			return 1, "127.0.0.1:1"
 		}
-		return address(r, try)
+		return route(r, try)
 	}, Done: func(i int, r *Request, o Result) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -253,7 +253,7 @@
 		first := make(chan struct{})
 		s := stream(2, 150*time.Millisecond, func(r *Request) { r.Idempotency = c.idempotency })
 		var last Outcome
-		r := play(t, Config{Route: to(ln.Addr().String()), Done: func(i int, _ *Request, o Result) {
+		r := play(t, Config{Route: routeTo(ln.Addr().String()), Done: func(i int, _ *Request, o Result) {
 			if i == 0 {
 				close(first)
 			} else {
@@ -269,40 +269,40 @@
 
 // TestSendDelay: a run with late sends is not valid.
 func TestSendDelay(t *testing.T) {
-	p := &player{Config: Config{MaxSendDelay: time.Millisecond}, report: &Report{SendDelay: NewHistogram()}}
+	g := &generator{Config: Config{MaxSendDelay: time.Millisecond}, report: &Report{SendDelay: NewHistogram()}}
 	for range 100 {
-		recordDuration(p.report.SendDelay, 500*time.Microsecond)
+		recordDuration(g.report.SendDelay, 500*time.Microsecond)
 	}
-	p.checkSendDelay()
-	if len(p.report.Violations) != 0 {
-		t.Errorf("in time, yet %q", p.report.Violations)
+	g.checkSendDelay()
+	if len(g.report.Violations) != 0 {
+		t.Errorf("in time, yet %q", g.report.Violations)
 	}
 	for range 10 {
-		recordDuration(p.report.SendDelay, 2*time.Millisecond)
+		recordDuration(g.report.SendDelay, 2*time.Millisecond)
 	}
-	p.checkSendDelay()
-	if len(p.report.Violations) != 1 || !strings.Contains(p.report.Violations[0], "late") {
-		t.Errorf("late, and %q", p.report.Violations)
+	g.checkSendDelay()
+	if len(g.report.Violations) != 1 || !strings.Contains(g.report.Violations[0], "late") {
+		t.Errorf("late, and %q", g.report.Violations)
 	}
 }
 
-func TestEndsWithItsContext(t *testing.T) {
+func TestContextCancellation(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	route := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		cancel()
 		<-r.Context().Done()
 	})
-	if _, err := Play(ctx, Config{Route: address}, stream(2, time.Minute, nil)); !errors.Is(err, context.Canceled) {
+	if _, err := Play(ctx, Config{Route: route}, stream(2, time.Minute, nil)); !errors.Is(err, context.Canceled) {
 		t.Errorf("ends with %v", err)
 	}
 }
 
-func TestBounds(t *testing.T) {
-	address := to("")
+func TestInvalidStreams(t *testing.T) {
+	route := routeTo("")
 	for _, s := range [][]Request{
 		stream(2, -1, nil), stream(1, 0, func(r *Request) { r.Deadline = 0 }), stream(2, 2*MaxDuration, nil), make([]Request, MaxRequests+1),
 	} {
-		if _, err := Play(t.Context(), Config{Route: address}, s); err == nil {
+		if _, err := Play(t.Context(), Config{Route: route}, s); err == nil {
 			t.Errorf("%d requests are played", len(s))
 		}
 	}
--- a/internal/lab/load/pace.go
+++ b/internal/lab/load/pace.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// spinTime is how long before its time the next send is awaited in short
+	// nanosleepWindow is how long before its time the next send is awaited in short
 	// steps: the runtime's timers may be a millisecond late, the system's
 	// sleep some 60 µs.
-	spinTime = 2 * time.Millisecond
+	nanosleepWindow = 2 * time.Millisecond
 	// maxSleep bounds how late the end of ctx is noticed.
 	maxSleep = 200 * time.Microsecond
 )
@@ -37,8 +37,8 @@
 		if left <= 0 {
 			return nil
 		}
-		if left > spinTime {
-			sleep(ctx, left-spinTime)
+		if left > nanosleepWindow {
+			sleep(ctx, left-nanosleepWindow)
 			continue
 		}
 		ts := syscall.NsecToTimespec(min(left, maxSleep).Nanoseconds())
--- a/internal/lab/load/player.go
+++ b/internal/lab/load/player.go
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// player is a stream that is being played.
-type player struct {
+// generator is a stream that is being played.
+type generator struct {
 	Config
 	start time.Time
 
 	mu     sync.Mutex
 	report *Report
-	conns  map[int]*nodeConns // by node
+	pools  map[int]*connPool // by node
 }
 
 // Play sends the stream, which must be sorted by At, and returns when every
 // request or ctx has ended. An error means that the stream could not be played;
 // failures of requests are in the report.
 func Play(ctx context.Context, c Config, stream []Request) (*Report, error) {
-	if err := check(c, stream); err != nil {
+	if err := validate(c, stream); err != nil {
 		return nil, err
 	}
 	if c.Connections <= 0 {
@@ -34,16 +34,16 @@
 	if c.MaxSendDelay <= 0 {
 		c.MaxSendDelay = DefaultMaxSendDelay
 	}
-	p := &player{Config: c, conns: map[int]*nodeConns{}, report: newReport()}
-	defer p.close()
-	if err := p.playAll(ctx, stream); err != nil {
+	g := &generator{Config: c, pools: map[int]*connPool{}, report: newReport()}
+	defer g.close()
+	if err := g.sendAll(ctx, stream); err != nil {
 		return nil, fmt.Errorf("load: %w", err)
 	}
-	p.checkSendDelay()
-	return p.report, nil
+	g.checkSendDelay()
+	return g.report, nil
 }
 
-func check(c Config, stream []Request) error {
+func validate(c Config, stream []Request) error {
 	if c.Route == nil {
 		return errors.New("load: no route to the nodes")
 	}
@@ -60,20 +60,20 @@
 	return nil
 }
 
-// playAll sends the requests at their times and waits for their ends.
-func (p *player) playAll(ctx context.Context, stream []Request) error {
-	p.start = time.Now()
+// sendAll sends the requests at their times and waits for their ends.
+func (g *generator) sendAll(ctx context.Context, stream []Request) error {
+	g.start = time.Now()
 	var running sync.WaitGroup
 	at := func(i int) time.Duration { return stream[i].At }
-	err := sendPaced(ctx, p.start, len(stream), at, func(i int) {
+	err := sendPaced(ctx, g.start, len(stream), at, func(i int) {
 		began := time.Now()
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			result := p.play(ctx, &stream[i], began)
-			p.record(&stream[i], result)
-			if p.Done != nil {
-				p.Done(i, &stream[i], result)
+			result := g.sendRequest(ctx, &stream[i], began)
+			g.record(&stream[i], result)
+			if g.Done != nil {
+				g.Done(i, &stream[i], result)
 			}
 		}()
 	})
@@ -84,17 +84,17 @@
 	return err
 }
 
-func (p *player) record(r *Request, result Result) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.report.add(r.Class, result)
+func (g *generator) record(r *Request, result Result) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.report.add(r.Class, result)
 }
 
 // checkSendDelay records whether the generator itself spoilt the run.
-func (p *player) checkSendDelay() {
-	if delay := time.Duration(p.report.SendDelay.ValueAtQuantile(99)); delay > p.MaxSendDelay {
-		p.report.Violations = append(p.report.Violations, fmt.Sprintf(
-			"the generator was late: %v at the 99th percentile, at most %v is allowed", delay, p.MaxSendDelay))
+func (g *generator) checkSendDelay() {
+	if delay := time.Duration(g.report.SendDelay.ValueAtQuantile(99)); delay > g.MaxSendDelay {
+		g.report.Violations = append(g.report.Violations, fmt.Sprintf(
+			"the generator was late: %v at the 99th percentile, at most %v is allowed", delay, g.MaxSendDelay))
 	}
 }
 
@@ -111,19 +111,19 @@
 // made.
 const minTryTime = 20 * time.Millisecond
 
-// play makes a request's tries. began is when the generator started the first.
-func (p *player) play(ctx context.Context, r *Request, began time.Time) Result {
-	intended := p.start.Add(r.At)
+// sendRequest makes a request's tries. began is when the generator started the first.
+func (g *generator) sendRequest(ctx context.Context, r *Request, began time.Time) Result {
+	intended := g.start.Add(r.At)
 	result := Result{SendDelay: began.Sub(intended), Added: -1}
 	deadline := began.Add(r.Deadline)
-	ctx, cancel := context.WithDeadline(ctx, deadline.Add(p.Slack))
+	ctx, cancel := context.WithDeadline(ctx, deadline.Add(g.Slack))
 	defer cancel()
 	for {
 		tryBegan := began
 		if result.Tries > 0 {
 			tryBegan = time.Now()
 		}
-		resp, err := p.try(ctx, r, deadline, result.Tries)
+		resp, err := g.try(ctx, r, deadline, result.Tries)
 		result.Tries++
 		result.Status = resp.status
 		result.Err = err
@@ -135,12 +135,12 @@
 			}
 			return result
 		}
-		if !p.mayRetry(r, result, err) {
+		if !g.mayRetry(r, result, err) {
 			return result
 		}
 		wait := resp.retryAfter
 		if wait <= 0 {
-			wait = p.Backoff
+			wait = g.Backoff
 		}
 		if time.Until(deadline)-wait < minTryTime {
 			return result
@@ -168,8 +168,8 @@
 
 // mayRetry reports whether the client may make a further try after the last
 // one, which was not served.
-func (p *player) mayRetry(r *Request, result Result, err error) bool {
-	if result.Outcome == Lost || result.Tries > p.Retries {
+func (g *generator) mayRetry(r *Request, result Result, err error) bool {
+	if result.Outcome == Lost || result.Tries > g.Retries {
 		return false
 	}
 	return result.Outcome == Rejected || r.RetryOnFailure || errors.Is(err, errUnreachable)
@@ -182,25 +182,25 @@
 // at that moment. A request that is not idempotent is not sent again: its
 // client cannot tell such a close from a node that died after it had read the
 // request.
-func (p *player) try(ctx context.Context, r *Request, deadline time.Time, try int) (response, error) {
-	node, address := p.Route(r, try)
+func (g *generator) try(ctx context.Context, r *Request, deadline time.Time, try int) (response, error) {
+	node, address := g.Route(r, try)
 	if address == "" {
 		return response{}, errUnreachable
 	}
-	conns := p.connsOf(node)
+	pool := g.poolOf(node)
 	for fresh := false; ; fresh = true {
-		c, err := p.take(ctx, conns, address, fresh)
+		c, err := g.take(ctx, pool, address, fresh)
 		if err != nil {
 			return response{}, fmt.Errorf("%w: %w", errUnreachable, err)
 		}
 		reused := c.used
 		e := exchange{conn: c, request: r, id: TryID(r.ID, try), deadline: deadline, isRetry: try > 0}
-		resp, err := p.run(ctx, &e)
+		resp, err := g.roundTrip(ctx, &e)
 		if err != nil || !e.reusable {
 			c.Close()
 			c = nil
 		}
-		conns.put(c)
+		pool.put(c)
 		closedWhenIdle := err != nil && reused && !e.responseBegan && !fresh
 		if closedWhenIdle && r.Idempotency != NotIdempotent && ctx.Err() == nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			continue
