--- a/internal/lab/emulator/doc.go
+++ b/internal/lab/emulator/doc.go
@@ -1,8 +1,8 @@
-// Package emulator puts HTTP/1.1 in front of the models of package model, on
-// loopback addresses and the wall clock, for nodes that are real processes.
+// Package emulator serves the models of package model over HTTP/1.1, on
+// loopback addresses and in real time, for nodes that run as real processes.
 //
 // A [Server] emulates one server process and a [Registry] emulates discovery;
-// hundreds of them fit into one process of the operating system. The models
-// decide what they do and when. This package adds the sockets, including what
-// TCP shows of a process that ends or a machine that vanishes.
+// hundreds of them fit into one operating-system process. The models decide how
+// each request ends and when. This package adds the sockets, including what a
+// TCP peer sees when a process ends or a machine drops off the network.
 package emulator
--- a/internal/lab/emulator/executionlog.go
+++ b/internal/lab/emulator/executionlog.go
@@ -8,28 +8,28 @@
 )
 
 // ExecutionLog records what happens to each request, by request id, at all
-// servers that share it. The zero value is ready for use and a nil log records
-// nothing. It is safe for concurrent use and grows by some hundred bytes a
-// request.
+// servers that share the log. The zero value is ready for use and a nil log
+// records nothing. It is safe for concurrent use and grows by about a hundred
+// bytes per request.
 type ExecutionLog struct {
 	mu       sync.Mutex
 	requests map[string]RequestLog
 }
 
-// RequestLog is what the servers saw of one request. Times are since the start
-// of the run.
+// RequestLog is what the servers that share an ExecutionLog saw of one request.
+// Arrived is relative to the start of the run.
 type RequestLog struct {
 	Class         string        // from X-Class; "" if nodes do not pass it on
 	NotIdempotent bool          // a POST without an idempotency key: it must run at most once
-	Arrived       time.Duration // first byte of the first copy
-	Deadline      time.Duration // how long the node waits for the last copy (X-Deadline); 0: unknown
+	Arrived       time.Duration // when the first byte of the first copy arrived
+	Deadline      time.Duration // X-Deadline of the last copy with a valid one: how long the node waits for it; 0: unknown
 	Copies        int           // received by a server
-	Executions    int           // copies that began to run
+	Executions    int           // copies whose execution began
 	Overlaps      int           // copies received while another was still in flight
-	inFlight      int           // copies now at a server
+	inFlight      int           // copies that are at a server now
 }
 
-// Summary is the sum over all requests of an ExecutionLog.
+// Summary sums up all requests of an ExecutionLog.
 type Summary struct {
 	Requests   int
 	Copies     int
@@ -37,7 +37,7 @@
 	Overlaps   int
 
 	Repeated       int      // requests executed more than once
-	RepeatedUnsafe []string // ids of those that must not be
+	RepeatedUnsafe []string // ids of those that are NotIdempotent
 }
 
 func (l *ExecutionLog) update(id string, change func(*RequestLog)) {
@@ -54,7 +54,8 @@
 	l.requests[id] = entry
 }
 
-// received records a copy of a request whose first byte arrived at a time.
+// received records that a copy of a request reached a server; its first byte
+// arrived at the given time.
 func (l *ExecutionLog) received(id string, r *http.Request, at time.Duration) {
 	l.update(id, func(entry *RequestLog) {
 		if entry.Copies == 0 {
@@ -73,7 +74,7 @@
 	})
 }
 
-// executed records that a copy began to run.
+// executed records that the execution of a copy began.
 func (l *ExecutionLog) executed(id string) {
 	l.update(id, func(entry *RequestLog) { entry.Executions++ })
 }
@@ -83,7 +84,7 @@
 	l.update(id, func(entry *RequestLog) { entry.inFlight-- })
 }
 
-// Request returns the record of a request, and whether there is one.
+// Request returns the record of a request and whether there is one.
 func (l *ExecutionLog) Request(id string) (RequestLog, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,7 +92,7 @@
 	return entry, ok
 }
 
-// Summary sums up all records so far.
+// Summary returns the sums over all requests recorded so far.
 func (l *ExecutionLog) Summary() Summary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/emulator/helpers_test.go
+++ b/internal/lab/emulator/helpers_test.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	longTimeout = 20 * time.Second       // for what must happen, on a busy machine
-	quietPeriod = 100 * time.Millisecond // for what must not happen
+	longTimeout = 20 * time.Second       // maximum wait for what must happen, even on a busy machine
+	quietPeriod = 100 * time.Millisecond // how long a test watches for what must not happen
 )
 
-// checkGoroutineLeaks checks at the end of the test that its goroutines have ended.
+// checkGoroutineLeaks checks at the end of the test that the number of goroutines
+// is back to what it was before.
 func checkGoroutineLeaks(t *testing.T) {
 	before := runtime.NumGoroutine()
 	t.Cleanup(func() {
 		for end := time.Now().Add(longTimeout); runtime.NumGoroutine() > before; runtime.Gosched() {
 			if time.Now().After(end) {
 				stacks := make([]byte, 1<<20)
-				t.Fatalf("goroutines are left:\n%s", stacks[:runtime.Stack(stacks, true)])
+				t.Fatalf("goroutines leaked:\n%s", stacks[:runtime.Stack(stacks, true)])
 			}
 		}
 	})
@@ -49,7 +50,7 @@
 	return s
 }
 
-// client is one connection.
+// client is a test client with one connection to a server.
 type client struct {
 	net.Conn
 	read *bufio.Reader
@@ -112,12 +113,13 @@
 	}
 }
 
-// until waits for something that another goroutine brings about.
+// waitFor waits until another goroutine has made ok return true. what describes
+// that state.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(longTimeout); !ok(); runtime.Gosched() {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatalf("not within %v: %s", longTimeout, what)
 		}
 	}
 }
--- a/internal/lab/emulator/listener.go
+++ b/internal/lab/emulator/listener.go
@@ -13,24 +13,25 @@
 	"time"
 )
 
-// faultListener serves HTTP on one loopback port and can imitate, on that same
-// port, a process that has ended (connections are reset, new ones refused) and
-// a machine that has vanished (nothing is answered at all).
+// faultListener serves HTTP on one loopback port. On the same port it can
+// imitate a process that has ended (connections are reset, new ones refused)
+// and a machine that is off the network (requests and new connections get no
+// answer).
 //
-// All methods are safe for concurrent use. The owner calls listen first and
-// close last.
+// All methods are safe for concurrent use, except that listen must be called
+// first and close last.
 type faultListener struct {
 	addr       *net.TCPAddr
 	httpServer http.Server
 
 	mu              sync.Mutex
-	listener        *listener // while serving, else nil
-	releaseHeldPort func()    // while not serving: frees the port for listener
-	blackholed      bool      // the machine has vanished: connections stay open and nothing is sent
+	listener        *listener // nil while not serving
+	releaseHeldPort func()    // closes the sockets that hold the port; nil while serving
+	blackholed      bool      // the machine is off the network: connections stay open and nothing is sent
 	closed          bool
 	conns           map[*conn]struct{}
-	unclosed        []*net.TCPConn // closed by the process while silent; still open on the network
-	err             error          // the port could not be held or bound again
+	unclosed        []*net.TCPConn // closed by net/http while blackholed; the sockets are still open
+	err             error          // failures to hold the port or to bind it again, joined
 
 	accepting sync.WaitGroup
 	openConns sync.WaitGroup
@@ -38,9 +39,9 @@
 	bytesOut  atomic.Int64
 }
 
-// listen binds a free port and starts serving on it. It takes over the
-// callbacks of httpServer except ConnContext. onClose is called at the end of
-// each connection.
+// listen binds a free loopback port and starts serving on it. It sets
+// httpServer's ErrorLog and ConnState, and wraps its ConnContext. onClose is
+// called when a connection ends.
 func (f *faultListener) listen(onClose func(*conn)) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,7 +49,7 @@
 	}
 	f.addr = ln.Addr().(*net.TCPAddr)
 	f.conns = map[*conn]struct{}{}
-	f.httpServer.ErrorLog = log.New(io.Discard, "", 0) // broken connections are intended
+	f.httpServer.ErrorLog = log.New(io.Discard, "", 0) // net/http would log the connections that are broken on purpose
 	connContext := f.httpServer.ConnContext
 	f.httpServer.ConnContext = func(ctx context.Context, nc net.Conn) context.Context {
 		if connContext != nil {
@@ -77,7 +78,7 @@
 	f.openConns.Done()
 }
 
-// serve accepts connections from ln until it is closed.
+// serve accepts connections from ln until ln is closed.
 func (f *faultListener) serve(ln net.Listener) {
 	l := &listener{Listener: ln, owner: f}
 	f.listener = l
@@ -88,10 +89,10 @@
 	}()
 }
 
-// stop ends serving. With silent false it imitates a process that has ended:
-// connections are reset and new ones refused. With silent true it imitates a
-// vanished machine: connections stay open without traffic, and new ones are
-// never established.
+// stop stops serving. With blackholed false it imitates a process that has ended:
+// connections are reset and new ones refused. With blackholed true it imitates
+// a machine that is off the network: connections stay open without traffic, and
+// new ones are never established.
 func (f *faultListener) stop(blackholed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,7 +112,7 @@
 	}
 }
 
-// resume serves again after stop. Connections from before are reset.
+// resume serves again after stop. Connections that stop left open are reset.
 func (f *faultListener) resume() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,22 +130,22 @@
 	f.serve(ln)
 }
 
-// isBlackholed reports whether the machine has vanished.
+// isBlackholed reports whether the machine is off the network.
 func (f *faultListener) isBlackholed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.blackholed
 }
 
-// resetConns resets all connections, as when a process is replaced by another
-// without a pause in serving.
+// resetConns resets all connections but keeps serving, as when a new process
+// replaces the old one without a gap.
 func (f *faultListener) resetConns() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.resetConnsLocked()
 }
 
-// The following methods need mu.
+// The caller of closeListener, releasePort and resetConnsLocked holds mu.
 
 func (f *faultListener) closeListener() {
 	if f.listener != nil {
@@ -171,8 +172,8 @@
 	f.unclosed = nil
 }
 
-// close ends the listener for good and returns when all its connections have
-// ended, with the errors of binding or holding the port.
+// close stops the listener for good and returns when all its connections have
+// ended. The error joins the failures to hold the port or to bind it again.
 func (f *faultListener) close() error {
 	f.mu.Lock()
 	f.closed = true
@@ -194,7 +195,8 @@
 	owner *faultListener
 }
 
-// Accept resets a connection that was established while the owner stopped.
+// Accept accepts a connection and registers it. If the owner has stopped or
+// replaced this listener meanwhile, it resets the connection instead.
 func (l *listener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/lab/emulator/port.go
+++ b/internal/lab/emulator/port.go
@@ -8,11 +8,11 @@
 	"syscall"
 )
 
-// holdPort keeps other processes from binding a port while nobody serves on
-// it. With silent false connections to it are refused. With silent true they
-// are never established: the accept queue holds one connection, which is
-// taken, and TCP drops the rest. release gives the port up; it is nil if
-// holdPort fails.
+// holdPort binds a port on which nothing is served, so that no other process
+// can bind it. With blackholed false, connections to the port are refused. With
+// blackholed true they are never established: the accept queue has room for one
+// connection, which holdPort opens itself, and the kernel drops all others.
+// release frees the port; it is nil if holdPort fails.
 func holdPort(addr *net.TCPAddr, blackholed bool) (release func(), err error) {
 	held := &heldPort{}
 	if err := held.bind(addr, blackholed); err != nil {
@@ -22,7 +22,7 @@
 	return held.release, nil
 }
 
-// heldPort owns the sockets that keep a port.
+// heldPort owns the sockets that keep a port bound.
 type heldPort struct {
 	fds []int
 }
--- a/internal/lab/emulator/registry.go
+++ b/internal/lab/emulator/registry.go
@@ -17,12 +17,13 @@
 type RegistryConfig struct {
 	model.RegistryConfig
 	Rand  model.Rand // see model.NewRegistry
-	Epoch time.Time  // start of the run, from which the model's times count; zero: now
+	Epoch time.Time  // start of the run, which is time 0 of the model; zero: now
 }
 
-// Registry emulates discovery, with one address for each node: that of its
-// agent, or its way to the service. All methods are safe for concurrent use.
-// The owner calls Close.
+// Registry emulates discovery. It has one address for each node, which stands
+// for the node's discovery agent or, with OnDemand, for the node's path to the
+// discovery service. All methods are safe for concurrent use. The owner must
+// call Close.
 type Registry struct {
 	cfg       RegistryConfig
 	listeners []*faultListener // by node
@@ -32,12 +33,12 @@
 	model    *model.Registry
 	refusing bool
 	waiting  map[uint64]chan model.Response // by call id
-	timer    *time.Timer                    // fires at the model's Next
+	timer    *time.Timer                    // fires at model.Next
 	closed   bool
 }
 
-// NewRegistry starts a registry with an empty list, on free ports of the
-// loopback address.
+// NewRegistry starts a registry with an empty endpoint list, on free ports of
+// the loopback address.
 func NewRegistry(cfg RegistryConfig) (*Registry, error) {
 	if cfg.Epoch.IsZero() {
 		cfg.Epoch = time.Now()
@@ -62,11 +63,11 @@
 	return r, nil
 }
 
-// Addr is where a node reaches the registry.
+// Addr returns the address at which a node reaches the registry.
 func (r *Registry) Addr(node int) string { return r.listeners[node].addr.String() }
 
-// withModel calls f with the model at the present time, delivers the responses
-// that are due and sets the timer for the next ones.
+// withModel calls f, with mu held, to use the model at the current time. It then
+// delivers the responses that are due and sets the timer for the next ones.
 func (r *Registry) withModel(f func(now time.Duration)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +88,7 @@
 
 func (r *Registry) advance() { r.withModel(func(time.Duration) {}) }
 
-// serve answers one request of a node.
+// serve answers one HTTP request from a node.
 func (r *Registry) serve(node int, w http.ResponseWriter, req *http.Request) {
 	if req.URL.Path != instancesPath || req.Method != http.MethodGet {
 		http.NotFound(w, req)
@@ -108,7 +109,7 @@
 	case response := <-waiter:
 		r.respond(w, req, response)
 		return
-	case <-req.Context().Done(): // the node has hung up
+	case <-req.Context().Done(): // the node has closed the connection
 	case <-r.done:
 	}
 	r.withModel(func(now time.Duration) {
@@ -118,7 +119,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// respond writes what the model answered, or resets the connection.
+// respond writes the model's response, or resets the connection if the outcome
+// is not Served.
 func (r *Registry) respond(w http.ResponseWriter, req *http.Request, response model.Response) {
 	if response.Outcome != model.Served {
 		connOf(req).reset()
@@ -129,8 +131,8 @@
 	w.Write(response.Body)
 }
 
-// parsePoll reads the version that the node has, 0 if it requests the whole
-// list, and how long the call may be held.
+// parsePoll parses the query of a poll: from is the version that the node has (0
+// requests the whole list), hold is how long the registry may hold the call.
 func parsePoll(req *http.Request) (from uint64, hold time.Duration, err error) {
 	q := req.URL.Query()
 	if q.Has("from") {
@@ -149,13 +151,14 @@
 	return from, hold, nil
 }
 
-// Change makes a new version of the list; see [model.Registry.Change].
+// Change publishes a new version of the endpoint list; see
+// [model.Registry.Change].
 func (r *Registry) Change(entries ...model.Entry) (err error) {
 	r.withModel(func(now time.Duration) { err = r.model.Change(now, entries...) })
 	return err
 }
 
-// Version is the newest version of the list.
+// Version returns the newest version of the endpoint list.
 func (r *Registry) Version() (version uint64) {
 	r.withModel(func(time.Duration) { version = r.model.Version() })
 	return version
@@ -187,24 +190,25 @@
 }
 
 // SetIsolated cuts a node off from discovery, or connects it again; see
-// [model.Registry.SetIsolated]. Its connections are still accepted, and calls
-// that the model leaves without a response never get one.
+// [model.Registry.SetIsolated]. The registry still accepts the node's
+// connections. A call that the model does not answer stays open until the node
+// ends it or the registry is closed.
 func (r *Registry) SetIsolated(node int, on bool) {
 	r.withModel(func(now time.Duration) { r.model.SetIsolated(now, node, on) })
 }
 
-// ResetWatches resets the calls that are held.
+// ResetWatches resets the calls that are held or being answered.
 func (r *Registry) ResetWatches() { r.withModel(r.model.ResetWatches) }
 
-// RegistryStats counts what a registry did. The bytes are those of its
-// connections, headers included.
+// RegistryStats holds a registry's counts. BytesIn and BytesOut are all bytes on
+// its connections, headers included.
 type RegistryStats struct {
 	model.RegistryStats
 	BytesIn  int64
 	BytesOut int64
 }
 
-// Stats counts over all nodes.
+// Stats returns the counts over all nodes.
 func (r *Registry) Stats() (stats RegistryStats) {
 	r.withModel(func(time.Duration) { stats.RegistryStats = r.model.Stats() })
 	for _, f := range r.listeners {
@@ -214,7 +218,7 @@
 	return stats
 }
 
-// NodeStats counts for one node.
+// NodeStats returns the counts for one node.
 func (r *Registry) NodeStats(node int) (stats RegistryStats) {
 	r.withModel(func(time.Duration) { stats.RegistryStats = r.model.NodeStats(node) })
 	stats.BytesIn = r.listeners[node].bytesIn.Load()
@@ -223,8 +227,8 @@
 }
 
 // Close resets all connections and returns when the registry's goroutines have
-// ended. The error reports a port that was lost during the run. Later calls do
-// nothing.
+// ended. The error reports ports that could not be held or bound again after a
+// refusal. Later calls do nothing.
 func (r *Registry) Close() error {
 	r.mu.Lock()
 	if r.closed {
--- a/internal/lab/emulator/request.go
+++ b/internal/lab/emulator/request.go
@@ -10,25 +10,26 @@
 	"bankshift/internal/lab/model"
 )
 
-// Headers by which the load generator describes a request to a server. A node
-// passes them on like any other end-to-end header.
+// Request headers in which the load generator tells a server how to emulate the
+// request. A node passes them on like any other end-to-end header.
 const (
 	WorkHeader   = "X-Lab-Work"   // processor time on a core of speed 1, in whole microseconds
-	ScopeHeader  = "X-Lab-Scope"  // of the idempotency key: all, zone or cell
-	WindowHeader = "X-Lab-Window" // for which the key is remembered, in whole milliseconds
+	ScopeHeader  = "X-Lab-Scope"  // servers that share the idempotency key: all, zone or cell
+	WindowHeader = "X-Lab-Window" // how long the key is remembered, in whole milliseconds
 )
 
-// ServiceTimeHeader is a response header: the seconds from the first byte of
-// the request at the server to its response. The load generator subtracts it
-// to find what a node adds.
+// ServiceTimeHeader is the response header in which a server reports the seconds
+// from the arrival of the request's first byte to its response. The load
+// generator subtracts them from the latency to find what a node adds.
 const ServiceTimeHeader = "X-Lab-Held"
 
-// serve answers one request.
+// serve handles one request: it records the request in the execution log and
+// responds with the outcome that the model gives it.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	c := connOf(r)
 	started := c.requestStarted()
 	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
-		panic(http.ErrAbortHandler) // the request is incomplete
+		panic(http.ErrAbortHandler) // the body is incomplete or too long
 	}
 	id := r.Header.Get("X-Request-Id")
 	work, err := s.parseWork(r)
@@ -52,8 +53,9 @@
 	s.respond(w, r, c, s.execute(r, c, id, work), id)
 }
 
-// execute gives the request to the model and waits for its outcome, which is
-// never Accepted.
+// execute passes the request to the model and waits for its outcome, which is
+// never Accepted. A request on a connection that the model did not accept has
+// the connection's outcome.
 func (s *Server) execute(r *http.Request, c *conn, id string, work model.Work) model.Outcome {
 	outcome := c.emulated.outcome
 	if outcome != model.Accepted {
@@ -86,7 +88,8 @@
 	}
 }
 
-// respond shows the client the outcome of its request.
+// respond ends the request with what its client sees of the outcome: a response,
+// no response, or a connection reset.
 func (s *Server) respond(w http.ResponseWriter, r *http.Request, c *conn, outcome model.Outcome, id string) {
 	switch outcome {
 	case model.Served:
@@ -113,7 +116,7 @@
 	}
 }
 
-// responseBody is the request's id, padded to the configured size.
+// responseBody returns the request's id, padded to the configured size.
 func (s *Server) responseBody(id string) []byte {
 	body := make([]byte, max(s.cfg.ResponseBytes, len(id)))
 	for i := range body {
@@ -155,8 +158,8 @@
 	return work, err
 }
 
-// parseDuration reads a header of whole units into d, which it leaves alone
-// where the header is missing.
+// parseDuration parses a header that is a whole number of units into d. If the
+// header is missing, it leaves d unchanged.
 func parseDuration(header http.Header, name string, unit time.Duration, d *time.Duration) error {
 	text := header.Get(name)
 	if text == "" {
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -12,25 +12,27 @@
 )
 
 const (
-	maxBodyBytes   = 64 << 10 // of a request or a response, by the protocol page
+	maxBodyBytes   = 64 << 10 // of a request or a response; the protocol's limit
 	maxHeaderBytes = 16 << 10 // of a request
 )
 
 // ServerConfig configures a Server.
 type ServerConfig struct {
 	model.ServerConfig
-	Rand  model.Rand // used by this server alone; see model.NewServer
-	Epoch time.Time  // start of the run, from which the model's times count; alike for servers that share KeyStores; zero: now
+	Rand model.Rand // must not be shared with other servers; see model.NewServer
+	// Epoch is the start of the run, which is time 0 of the model. It must be
+	// equal for servers that share KeyStores. Zero: now.
+	Epoch time.Time
 
-	DefaultWork   time.Duration // of a request without WorkHeader
-	DefaultWindow time.Duration // of a key without WindowHeader
-	ResponseBytes int           // body size of a response 200, which begins with the request's id
+	DefaultWork   time.Duration // work of a request without WorkHeader
+	DefaultWindow time.Duration // how long a key without WindowHeader is remembered
+	ResponseBytes int           // minimum body size of a 200 response; the body begins with the request's id
 
 	ExecutionLog *ExecutionLog // nil: nothing is recorded
 }
 
 // Server emulates a server process with an address of its own. All methods are
-// safe for concurrent use. The owner calls Close.
+// safe for concurrent use. The owner must call Close.
 type Server struct {
 	cfg      ServerConfig
 	listener faultListener
@@ -39,27 +41,28 @@
 	mu        sync.Mutex
 	model     *model.Server
 	listening bool // the listener serves
-	starts    int  // the model's count of starts that the listener has followed
+	starts    int  // the model's count of process starts at the last syncListener
 	lastID    uint64
 	waiting   map[uint64]*pendingRequest // by model.Work.ID
-	timer     *time.Timer                // fires at the model's Next
+	timer     *time.Timer                // fires at model.Next
 	closed    bool
 }
 
-// pendingRequest is one that the model has accepted.
+// pendingRequest is a request that the model has accepted and not yet ended.
 type pendingRequest struct {
 	id    string
-	reply chan model.Reply // has room for the one reply
+	reply chan model.Reply // buffered, so that sending the one reply does not block
 }
 
-// emulatedConn is the state that a Server keeps for a connection.
+// emulatedConn is the state that a Server keeps for a connection. It is set when
+// the connection is accepted.
 type emulatedConn struct {
-	model   *model.Conn   // nil: over the limit of connections
-	readyAt time.Time     // when the handshake is done
-	outcome model.Outcome // of connecting
+	model   *model.Conn   // nil: the model did not accept the connection
+	readyAt time.Time     // when the emulated handshake is done
+	outcome model.Outcome // of model.Server.Connect
 }
 
-// NewServer starts a warm server on a free port of the loopback address.
+// NewServer starts a server, warmed up, on a free port of the loopback address.
 func NewServer(cfg ServerConfig) (*Server, error) {
 	if cfg.Epoch.IsZero() {
 		cfg.Epoch = time.Now()
@@ -89,7 +92,7 @@
 	return s, nil
 }
 
-// Addr is the server's address, which it keeps while it does not listen.
+// Addr returns the server's address. The server keeps it while it is down.
 func (s *Server) Addr() string { return s.listener.addr.String() }
 
 // onStart is called by the model, with mu held, when a request begins to run.
@@ -102,8 +105,8 @@
 	}
 }
 
-// withModel calls f with the model at the present time and then makes the
-// sockets follow it.
+// withModel calls f, with mu held, to use the model at the current time. It then
+// applies the model's state to the sockets.
 func (s *Server) withModel(f func(now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,8 +116,8 @@
 
 func (s *Server) advance() { s.withModel(func(time.Duration) {}) }
 
-// syncLocked delivers the model's replies, makes the listener follow the
-// model's state and sets the timer.
+// syncLocked delivers the model's replies, updates the listener and sets the
+// timer for the model's next event.
 func (s *Server) syncLocked() {
 	for _, reply := range s.model.Advance(time.Since(s.cfg.Epoch)) {
 		if r := s.waiting[reply.ID]; r != nil {
@@ -131,6 +134,9 @@
 	s.timer.Reset(next - time.Since(s.cfg.Epoch))
 }
 
+// syncListener stops, resumes or resets the listener to match the model's state.
+// If the process ended and started again since the last call, only the count of
+// starts has changed, and the connections are reset.
 func (s *Server) syncListener() {
 	up := s.model.Up()
 	starts := s.model.Stats().Starts
@@ -168,20 +174,20 @@
 	return stats
 }
 
-// Bytes counts what was read from connections and written to them, headers
-// included.
+// Bytes returns how many bytes were read from connections and written to them,
+// headers included.
 func (s *Server) Bytes() (in, out int64) {
 	return s.listener.bytesIn.Load(), s.listener.bytesOut.Load()
 }
 
-// Start starts the process again, to warm up; see [model.Server.Start].
+// Start starts the process again, which then warms up; see [model.Server.Start].
 func (s *Server) Start() { s.withModel(s.model.Start) }
 
 // Kill ends the process: connections are reset, new ones refused.
 func (s *Server) Kill() { s.withModel(s.model.Kill) }
 
-// Disconnect takes the machine from the network: connections stay open and
-// silent, new ones are never established.
+// Disconnect takes the machine off the network: connections stay open without
+// traffic, new ones are never established.
 func (s *Server) Disconnect() { s.withModel(s.model.Disconnect) }
 
 // SetHung suspends the process or lets it continue; see [model.Server.SetHung].
@@ -194,7 +200,7 @@
 	s.withModel(func(now time.Duration) { s.model.SetSlowdown(now, factor) })
 }
 
-// SetFailureRate makes a fraction of the executions fail; a negative one
+// SetFailureRate makes a fraction of the executions fail; a negative fraction
 // restores the configured rate.
 func (s *Server) SetFailureRate(fraction float64) {
 	s.withModel(func(now time.Duration) { s.model.SetFailureRate(now, fraction) })
@@ -206,8 +212,8 @@
 }
 
 // Close resets all connections and returns when the server's goroutines have
-// ended. The error reports a port that was lost during the run. Later calls do
-// nothing.
+// ended. The error reports a port that could not be held or bound again while
+// the server was down. Later calls do nothing.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	if s.closed {
