--- a/internal/lab/load/conns.go
+++ b/internal/lab/load/conns.go
@@ -74,10 +74,10 @@
 	}
 }
 
-// takeOrReserve returns an idle connection. If there is none, it counts a new
-// connection as open, which the caller must dial, and returns nil twice. At the
-// limit it returns a channel instead, which delivers a connection, or nil for one
-// that is counted as open and must be dialled.
+// takeOrReserve returns an idle connection. If there is none or fresh is set, it
+// counts a new connection as open, which the caller must dial, and returns nil
+// twice. At the limit it returns a channel instead, which delivers a connection,
+// or nil for one that is counted as open and must be dialled.
 func (p *connPool) takeOrReserve(address string, fresh bool, limit int) (*conn, chan *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,8 +137,8 @@
 	p.idle = append(p.idle, c)
 }
 
-// abandonWait removes a waiter. If put has served it already, what it received
-// goes back to the pool.
+// abandonWait removes a waiter. If put has served it already, what it received is
+// put back, for the next waiter or as idle.
 func (p *connPool) abandonWait(waiter chan *conn) {
 	p.mu.Lock()
 	i := slices.Index(p.waiters, waiter)
