--- a/internal/lab/load/player.go
+++ b/internal/lab/load/player.go
@@ -11,21 +11,22 @@
 	"time"
 )
 
-// player is a stream that is being played.
-type player struct {
+// generator sends one stream and collects its report.
+type generator struct {
 	Config
 	start time.Time
 
 	mu     sync.Mutex
 	report *Report
-	conns  map[int]*nodeConns // by node
+	pools  map[int]*connPool // by node
 }
 
-// Play sends the stream, which must be sorted by At, and returns when every
-// request or ctx has ended. An error means that the stream could not be played;
-// failures of requests are in the report.
+// Play sends the stream, which must be sorted by At, and returns when all requests
+// have ended, which they also do when ctx ends. An error means that the
+// configuration or the stream is invalid or that ctx has ended; failed requests
+// are counted in the report.
 func Play(ctx context.Context, c Config, stream []Request) (*Report, error) {
-	if err := check(c, stream); err != nil {
+	if err := validate(c, stream); err != nil {
 		return nil, err
 	}
 	if c.Connections <= 0 {
@@ -34,72 +35,74 @@
 	if c.MaxSendDelay <= 0 {
 		c.MaxSendDelay = DefaultMaxSendDelay
 	}
-	p := &player{Config: c, conns: map[int]*nodeConns{}, report: newReport()}
-	defer p.close()
-	if err := p.playAll(ctx, stream); err != nil {
+	g := &generator{Config: c, pools: map[int]*connPool{}, report: newReport()}
+	defer g.close()
+	if err := g.sendAll(ctx, stream); err != nil {
 		return nil, fmt.Errorf("load: %w", err)
 	}
-	p.checkSendDelay()
-	return p.report, nil
+	g.checkSendDelay()
+	return g.report, nil
 }
 
-func check(c Config, stream []Request) error {
+func validate(c Config, stream []Request) error {
 	if c.Route == nil {
-		return errors.New("load: no route to the nodes")
+		return errors.New("load: Config.Route is nil")
 	}
 	if len(stream) > MaxRequests {
-		return fmt.Errorf("load: %d requests, at most %d are played", len(stream), MaxRequests)
+		return fmt.Errorf("load: the stream has %d requests, want at most %d", len(stream), MaxRequests)
 	}
 	for i := range stream {
 		r := &stream[i]
 		sorted := i == 0 || r.At >= stream[i-1].At
 		if r.At < 0 || r.At > MaxDuration || !sorted || r.Deadline <= 0 {
-			return fmt.Errorf("load: request %d at %v with deadline %v: out of order or bounds", i, r.At, r.Deadline)
+			return fmt.Errorf("load: request %d has time %v and deadline %v, want ascending times from 0 to %v and a positive deadline", i, r.At, r.Deadline, MaxDuration)
 		}
 	}
 	return nil
 }
 
-// playAll sends the requests at their times and waits for their ends.
-func (p *player) playAll(ctx context.Context, stream []Request) error {
-	p.start = time.Now()
+// sendAll sends the requests at their intended times and waits until all have
+// ended.
+func (g *generator) sendAll(ctx context.Context, stream []Request) error {
+	g.start = time.Now()
 	var running sync.WaitGroup
 	at := func(i int) time.Duration { return stream[i].At }
-	err := sendPaced(ctx, p.start, len(stream), at, func(i int) {
+	err := sendPaced(ctx, g.start, len(stream), at, func(i int) {
 		began := time.Now()
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			result := p.play(ctx, &stream[i], began)
-			p.record(&stream[i], result)
-			if p.Done != nil {
-				p.Done(i, &stream[i], result)
+			result := g.sendRequest(ctx, &stream[i], began)
+			g.record(&stream[i], result)
+			if g.Done != nil {
+				g.Done(i, &stream[i], result)
 			}
 		}()
 	})
 	running.Wait()
 	if err == nil {
-		err = ctx.Err() // requests under way were cut short
+		err = ctx.Err() // requests that were under way have been aborted
 	}
 	return err
 }
 
-func (p *player) record(r *Request, result Result) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.report.add(r.Class, result)
+func (g *generator) record(r *Request, result Result) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.report.add(r.Class, result)
 }
 
-// checkSendDelay records whether the generator itself spoilt the run.
-func (p *player) checkSendDelay() {
-	if delay := time.Duration(p.report.SendDelay.ValueAtQuantile(99)); delay > p.MaxSendDelay {
-		p.report.Violations = append(p.report.Violations, fmt.Sprintf(
-			"the generator was late: %v at the 99th percentile, at most %v is allowed", delay, p.MaxSendDelay))
+// checkSendDelay records a violation if the generator itself was too slow for the
+// run to be valid.
+func (g *generator) checkSendDelay() {
+	if delay := time.Duration(g.report.SendDelay.ValueAtQuantile(99)); delay > g.MaxSendDelay {
+		g.report.Violations = append(g.report.Violations, fmt.Sprintf(
+			"the generator was late: %v at the 99th percentile, at most %v is allowed", delay, g.MaxSendDelay))
 	}
 }
 
-// TryID is the X-Request-Id of a request's try, counted from 0. Every try has
-// its own.
+// TryID returns the X-Request-Id of a try of the request with the given ID. Tries
+// count from 0, and each has an ID of its own.
 func TryID(id string, try int) string {
 	if try == 0 {
 		return id
@@ -107,23 +110,24 @@
 	return id + "-" + strconv.Itoa(try)
 }
 
-// minTryTime is the least time before the deadline with which a further try is
-// made.
+// minTryTime is how much time must be left until the deadline for a further try
+// to be made.
 const minTryTime = 20 * time.Millisecond
 
-// play makes a request's tries. began is when the generator started the first.
-func (p *player) play(ctx context.Context, r *Request, began time.Time) Result {
-	intended := p.start.Add(r.At)
+// sendRequest makes a request's tries until one is served or no further one is
+// allowed. began is when the generator started the first.
+func (g *generator) sendRequest(ctx context.Context, r *Request, began time.Time) Result {
+	intended := g.start.Add(r.At)
 	result := Result{SendDelay: began.Sub(intended), Added: -1}
 	deadline := began.Add(r.Deadline)
-	ctx, cancel := context.WithDeadline(ctx, deadline.Add(p.Slack))
+	ctx, cancel := context.WithDeadline(ctx, deadline.Add(g.Slack))
 	defer cancel()
 	for {
 		tryBegan := began
 		if result.Tries > 0 {
 			tryBegan = time.Now()
 		}
-		resp, err := p.try(ctx, r, deadline, result.Tries)
+		resp, err := g.try(ctx, r, deadline, result.Tries)
 		result.Tries++
 		result.Status = resp.status
 		result.Err = err
@@ -135,12 +139,12 @@
 			}
 			return result
 		}
-		if !p.mayRetry(r, result, err) {
+		if !g.mayRetry(r, result, err) {
 			return result
 		}
 		wait := resp.retryAfter
 		if wait <= 0 {
-			wait = p.Backoff
+			wait = g.Backoff
 		}
 		if time.Until(deadline)-wait < minTryTime {
 			return result
@@ -153,7 +157,7 @@
 	}
 }
 
-// outcomeOf is how a try ended.
+// outcomeOf returns the outcome of a try.
 func outcomeOf(ctx context.Context, resp response, err error) Outcome {
 	switch {
 	case resp.status == http.StatusOK:
@@ -166,41 +170,42 @@
 	return Failed
 }
 
-// mayRetry reports whether the client may make a further try after the last
-// one, which was not served.
-func (p *player) mayRetry(r *Request, result Result, err error) bool {
-	if result.Outcome == Lost || result.Tries > p.Retries {
+// mayRetry reports whether the client may make a further try after one that was
+// not served.
+func (g *generator) mayRetry(r *Request, result Result, err error) bool {
+	if result.Outcome == Lost || result.Tries > g.Retries {
 		return false
 	}
 	return result.Outcome == Rejected || r.RetryOnFailure || errors.Is(err, errUnreachable)
 }
 
-// errUnreachable means that a try reached no node: it was never executed.
+// errUnreachable means that a try reached no node and so was never executed.
 var errUnreachable = errors.New("no node is reachable")
 
-// try sends a request once, and once more if the node closed an idle connection
-// at that moment. A request that is not idempotent is not sent again: its
-// client cannot tell such a close from a node that died after it had read the
-// request.
-func (p *player) try(ctx context.Context, r *Request, deadline time.Time, try int) (response, error) {
-	node, address := p.Route(r, try)
+// try makes one try of a request. If a reused connection ends before the first
+// byte of a response, the node may have closed it as idle at that moment, and try
+// sends the request once more on another connection. It does not do so for a
+// request that is not idempotent: the client cannot tell such a close from a node
+// that died after it had read the request.
+func (g *generator) try(ctx context.Context, r *Request, deadline time.Time, try int) (response, error) {
+	node, address := g.Route(r, try)
 	if address == "" {
 		return response{}, errUnreachable
 	}
-	conns := p.connsOf(node)
+	pool := g.poolOf(node)
 	for fresh := false; ; fresh = true {
-		c, err := p.take(ctx, conns, address, fresh)
+		c, err := g.take(ctx, pool, address, fresh)
 		if err != nil {
 			return response{}, fmt.Errorf("%w: %w", errUnreachable, err)
 		}
 		reused := c.used
 		e := exchange{conn: c, request: r, id: TryID(r.ID, try), deadline: deadline, isRetry: try > 0}
-		resp, err := p.run(ctx, &e)
+		resp, err := g.roundTrip(ctx, &e)
 		if err != nil || !e.reusable {
 			c.Close()
 			c = nil
 		}
-		conns.put(c)
+		pool.put(c)
 		closedWhenIdle := err != nil && reused && !e.responseBegan && !fresh
 		if closedWhenIdle && r.Idempotency != NotIdempotent && ctx.Err() == nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			continue
