--- a/internal/lab/fleet/addresses.go
+++ b/internal/lab/fleet/addresses.go
@@ -14,8 +14,8 @@
 	maxOccupied = 100    // ports that are skipped
 )
 
-// portsUsed counts the ports that were tried; each is returned once.
-var portsUsed atomic.Int32
+// portsTried counts the ports that were tried; each is returned once.
+var portsTried atomic.Int32
 
 // FreeAddresses returns n loopback addresses on which nothing listens. Their
 // host belongs to this process alone, so that neither another run nor an
@@ -25,7 +25,7 @@
 	host := fmt.Sprintf("127.%d.%d.1", 64+pid/254%127, 1+pid%254)
 	var addresses []string
 	for tries := 0; len(addresses) < n; tries++ {
-		address := net.JoinHostPort(host, strconv.Itoa(firstPort+int(portsUsed.Add(1))%portCount))
+		address := net.JoinHostPort(host, strconv.Itoa(firstPort+int(portsTried.Add(1))%portCount))
 		ln, err := net.Listen("tcp", address)
 		if err != nil {
 			if tries > n+maxOccupied {
--- a/internal/lab/fleet/faults.go
+++ b/internal/lab/fleet/faults.go
@@ -12,7 +12,7 @@
 func (m *run) schedule(at time.Duration, do func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.ended {
+	if m.stepsEnded {
 		return
 	}
 	m.steps.Add(1)
@@ -25,7 +25,7 @@
 // endSteps cancels the scheduled steps and waits for those under way.
 func (m *run) endSteps() {
 	m.mu.Lock()
-	m.ended = true
+	m.stepsEnded = true
 	timers := m.timers
 	m.timers = nil
 	m.mu.Unlock()
@@ -48,8 +48,8 @@
 }
 
 func (m *run) scheduleStep(e scenario.Event, step scenario.Step) {
-	if begin, end := m.serverFault(e, step.Index); begin != nil {
-		m.scheduleServerFault(step, begin, end)
+	if begin, end := m.serverAction(e, step.Index); begin != nil {
+		m.scheduleServerAction(step, begin, end)
 		return
 	}
 	switch e.Action {
@@ -74,16 +74,16 @@
 	return nil
 }
 
-// serverFault returns what an event does to a server at its beginning and at
+// serverAction returns what an event does to a server at its beginning and at
 // its end. begin is nil for other events, end for those that have none.
-func (m *run) serverFault(e scenario.Event, place int) (begin, end func(*server)) {
+func (m *run) serverAction(e scenario.Event, slot int) (begin, end func(*server)) {
 	switch e.Action {
 	case scenario.RestartServers:
 		return func(sv *server) { sv.process.Kill() }, m.startServer
 	case scenario.LoseServers:
 		return func(sv *server) { sv.process.Disconnect() }, m.startServer
 	case scenario.ReplaceServers:
-		return func(sv *server) { m.replaceServer(sv, place) }, nil
+		return func(sv *server) { m.replaceServer(sv, slot) }, nil
 	case scenario.DrainServers:
 		return func(sv *server) { m.setStatus(sv, model.Draining) },
 			func(sv *server) { m.setStatus(sv, model.Ready) }
@@ -102,9 +102,9 @@
 	return nil, nil
 }
 
-// scheduleServerFault applies a fault to the server that is in a place when it
+// scheduleServerAction applies a fault to the server that is in a place when it
 // begins, and ends it for that server, not for a successor.
-func (m *run) scheduleServerFault(step scenario.Step, begin, end func(*server)) {
+func (m *run) scheduleServerAction(step scenario.Step, begin, end func(*server)) {
 	m.schedule(step.At, func() {
 		m.mu.Lock()
 		sv := m.current[step.Index]
@@ -118,7 +118,7 @@
 
 // changeWeight makes a harmless change of the list.
 func (m *run) changeWeight(sv *server) {
-	m.publish(sv, func(e *model.Entry) { e.Weight = setup.ChangedWeight(m.versions) })
+	m.publish(sv, func(e *model.Entry) { e.Weight = setup.ChangedWeight(m.listVersions) })
 }
 
 // scheduleOutage schedules an outage of discovery.
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -64,13 +64,13 @@
 
 	mu            sync.Mutex
 	timers        []*time.Timer // of steps
-	ended         bool          // no more steps begin
+	stepsEnded    bool          // no more steps begin
 	nodes         []*nodeSlot
 	servers       []*server // all there ever were
 	current       []*server // the one in each place now
 	keyStores     setup.KeyStores
 	executionLogs map[string]*emulator.ExecutionLog // by zone
-	versions      int                               // of the list, made by events
+	listVersions  int                               // of the list, made by events
 	successors    int                               // servers replaced so far
 	eventLog      []string
 	violations    []string
@@ -128,7 +128,7 @@
 	if err := m.setUp(); err != nil {
 		return nil, err
 	}
-	r, err := m.play()
+	r, err := m.runTraffic()
 	if err != nil {
 		return nil, err
 	}
@@ -170,8 +170,8 @@
 	return m.sleep(settleTime)
 }
 
-// play plays the traffic and the events, and stops the nodes.
-func (m *run) play() (*result.Run, error) {
+// runTraffic plays the traffic and the events, and stops the nodes.
+func (m *run) runTraffic() (*result.Run, error) {
 	s := m.scenario
 	m.eventLog = append(m.eventLog, m.describeStart())
 	x := newMeasurement(m)
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -31,7 +31,7 @@
 	os.Exit(code)
 }
 
-const small = `
+const smallScenario = `
 name = "two nodes"
 seed = 7
 length = "3s"
@@ -84,7 +84,7 @@
 }
 
 func TestTwoNodes(t *testing.T) {
-	s := parse(t, small+`
+	s := parse(t, smallScenario+`
 [[event]]
 at = "1500ms"
 do = "change-lists"
@@ -129,25 +129,25 @@
 // TestCanceledRunEndsItsNodes: without nodes the run would go on to its end,
 // which is no error.
 func TestCanceledRunEndsItsNodes(t *testing.T) {
-	before := children(t)
+	before := childProcesses(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { // once it has nodes
-		for ctx.Err() == nil && children(t) == before {
+		for ctx.Err() == nil && childProcesses(t) == before {
 			time.Sleep(5 * time.Millisecond)
 		}
 		cancel()
 	}()
-	if _, err := Run(ctx, parse(t, small), Options{Node: program}); !errors.Is(err, context.Canceled) {
+	if _, err := Run(ctx, parse(t, smallScenario), Options{Node: program}); !errors.Is(err, context.Canceled) {
 		t.Errorf("ends with %v", err)
 	}
-	if after := children(t); after != before {
+	if after := childProcesses(t); after != before {
 		t.Errorf("children %q, before the run %q", after, before)
 	}
 }
 
-// children of this process's threads, by id.
-func children(t *testing.T) string {
+// childProcesses of this process's threads, by id.
+func childProcesses(t *testing.T) string {
 	tasks, err := os.ReadDir("/proc/self/task")
 	if err != nil {
 		t.Error(err)
@@ -191,19 +191,19 @@
 	}
 }
 
-func TestRejectsWhatItCannotPlay(t *testing.T) {
+func TestRejectsUnsupportedScenarios(t *testing.T) {
 	for _, change := range []func(*scenario.Scenario){
 		func(s *scenario.Scenario) { s.Fleet.Nodes = MaxNodes + 1 },
 		func(s *scenario.Scenario) { s.Servers.Count = MaxServers + 1 },
 		func(s *scenario.Scenario) { s.Traffic.Rate = MaxRate + 1 },
 	} {
-		s := parse(t, small)
+		s := parse(t, smallScenario)
 		change(s)
 		if _, err := Run(t.Context(), s, Options{Node: program}); !errors.Is(err, ErrTooLarge) {
 			t.Errorf("ends with %v", err)
 		}
 	}
-	s := parse(t, small+"[[event]]\nat = \"1s\"\nfor = \"1s\"\ndo = \"cut\"\nzone = \"a\"\n")
+	s := parse(t, smallScenario+"[[event]]\nat = \"1s\"\nfor = \"1s\"\ndo = \"cut\"\nzone = \"a\"\n")
 	if _, err := Run(t.Context(), s, Options{Node: program}); err == nil || !strings.Contains(err.Error(), "cut") {
 		t.Errorf("ends with %v", err)
 	}
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -40,12 +40,12 @@
 
 // snapshot is a run's totals at one time.
 type snapshot struct {
-	lists    []emulator.RegistryStats // by node
-	cpu      time.Duration            // of all nodes
-	work     time.Duration            // of all servers
-	wasted   time.Duration
-	crashes  int
-	versions int
+	lists        []emulator.RegistryStats // by node
+	cpu          time.Duration            // of all nodes
+	work         time.Duration            // of all servers
+	wasted       time.Duration
+	crashes      int
+	listVersions int
 }
 
 func newMeasurement(m *run) *measurement {
@@ -93,7 +93,7 @@
 		s.wasted += stats.Wasted
 		s.crashes += stats.Crashes
 	}
-	s.versions = m.versions
+	s.listVersions = m.listVersions
 	return s
 }
 
@@ -216,7 +216,7 @@
 		c.WorstRate = max(c.WorstRate, float64(bytes)/r.Seconds)
 	}
 	c.NodeRate = float64(c.Bytes) / r.Seconds / float64(r.Nodes)
-	c.Changes = x.to.versions - x.from.versions
+	c.Changes = x.to.listVersions - x.from.listVersions
 	var peak result.Peak
 	for i, bytes := range x.bytesPerSecond {
 		c.WorstSecond = max(c.WorstSecond, bytes)
--- a/internal/lab/fleet/nodes.go
+++ b/internal/lab/fleet/nodes.go
@@ -21,10 +21,10 @@
 	zone    string
 	address string
 
-	processes []*Process
-	available bool // ready, and not about to end
-	draining  bool // its present process shuts down in order
-	diedAt    time.Time
+	processes        []*Process
+	available        bool // ready, and not about to end
+	draining         bool // its present process shuts down in order
+	unavailableSince time.Time
 }
 
 // process is the present process.
@@ -73,7 +73,7 @@
 		return fmt.Errorf("fleet: %w", err)
 	}
 	began := time.Now()
-	p, err := Start(m.ctx, m.program, m.dir, m.scenario.Node(n.index).Name, n.address, config, m.threads())
+	p, err := Start(m.ctx, m.program, m.dir, m.scenario.Node(n.index).Name, n.address, config, m.maxProcs())
 	if err != nil {
 		return err
 	}
@@ -90,9 +90,9 @@
 	return nil
 }
 
-// threads is a node's GOMAXPROCS: the whole cores that contain its fraction, as
+// maxProcs is a node's GOMAXPROCS: the whole cores that contain its fraction, as
 // on the platform, where a node sees a machine of its own.
-func (m *run) threads() int { return max(1, int(math.Ceil(m.scenario.Fleet.Cores))) }
+func (m *run) maxProcs() int { return max(1, int(math.Ceil(m.scenario.Fleet.Cores))) }
 
 // knownList is the present list, as a configuration contains it.
 func (m *run) knownList() json.RawMessage {
@@ -110,15 +110,15 @@
 // describeStart says how long the nodes took to be ready.
 func (m *run) describeStart() string {
 	const precision = time.Millisecond / 10
-	soonest := m.nodes[0].process().Ready
-	last := time.Duration(0)
+	shortest := m.nodes[0].process().Ready
+	longest := time.Duration(0)
 	for _, n := range m.nodes {
 		ready := n.process().Ready
-		soonest = min(soonest, ready)
-		last = max(last, ready)
+		shortest = min(shortest, ready)
+		longest = max(longest, ready)
 	}
 	return fmt.Sprintf("nodes ready %v to %v after their starts, with GOMAXPROCS=%d and no other limit of the processor",
-		soonest.Round(precision), last.Round(precision), m.threads())
+		shortest.Round(precision), longest.Round(precision), m.maxProcs())
 }
 
 // route assigns clients' connections to nodes as a load balancer in front does:
@@ -128,8 +128,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	own := m.nodes[r.Node]
-	unnoticed := !own.draining && try == 0 && time.Since(own.diedAt) < m.scenario.Traffic.FailoverDelay.Std()
-	if own.available || unnoticed {
+	undetected := !own.draining && try == 0 && time.Since(own.unavailableSince) < m.scenario.Traffic.FailoverDelay.Std()
+	if own.available || undetected {
 		return own.index, own.address
 	}
 	available := func(n *nodeSlot) bool { return n.available }
@@ -145,13 +145,13 @@
 // restart time. It does nothing if the node is away already.
 func (m *run) restartNode(n *nodeSlot, draining bool, stop func(p *Process) error) {
 	m.mu.Lock()
-	if !n.available || m.ended {
+	if !n.available || m.stepsEnded {
 		m.mu.Unlock()
 		return
 	}
 	n.available = false
 	n.draining = draining
-	n.diedAt = time.Now()
+	n.unavailableSince = time.Now()
 	p := n.process()
 	m.mu.Unlock()
 	if err := stop(p); err != nil {
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -46,7 +46,7 @@
 // Start starts the program at path with a configuration, which it writes to a
 // file in dir. The process is killed when ctx ends, and with the program that
 // started it. threads is its GOMAXPROCS; 0: the default.
-func Start(ctx context.Context, path, dir, name, address string, config []byte, threads int) (*Process, error) {
+func Start(ctx context.Context, path, dir, name, address string, config []byte, maxProcs int) (*Process, error) {
 	file := filepath.Join(dir, name+".json")
 	if err := os.WriteFile(file, config, 0o600); err != nil {
 		return nil, fmt.Errorf("fleet: configuration of %s: %w", name, err)
@@ -54,8 +54,8 @@
 	p := &Process{Name: name, Address: address, ended: make(chan struct{})}
 	p.cmd = exec.CommandContext(ctx, path)
 	p.cmd.Env = append(os.Environ(), "GW_NAME="+name, "GW_CONFIG="+file)
-	if threads > 0 {
-		p.cmd.Env = append(p.cmd.Env, "GOMAXPROCS="+strconv.Itoa(threads))
+	if maxProcs > 0 {
+		p.cmd.Env = append(p.cmd.Env, "GOMAXPROCS="+strconv.Itoa(maxProcs))
 	}
 	p.cmd.Stdout = &p.log
 	p.cmd.Stderr = &p.log
--- a/internal/lab/fleet/servers.go
+++ b/internal/lab/fleet/servers.go
@@ -73,7 +73,7 @@
 		return
 	}
 	change(&sv.entry)
-	m.versions++
+	m.listVersions++
 	if err := m.registry.Change(sv.entry); err != nil {
 		m.violationLocked("%v", err)
 	}
@@ -131,14 +131,14 @@
 
 // replaceServer drains a server, ends it after twice the drain grace, and
 // starts its successor, under a new name, in its place.
-func (m *run) replaceServer(sv *server, place int) {
+func (m *run) replaceServer(sv *server, slot int) {
 	m.setStatus(sv, model.Draining)
 	m.schedule(time.Since(m.trafficStart)+2*m.scenario.Discovery.DrainGrace.Std(), func() {
 		sv.process.Kill()
 		m.setStatus(sv, model.Removed)
 		m.mu.Lock()
 		m.successors++
-		number := place + m.successors*m.scenario.Servers.Count
+		number := slot + m.successors*m.scenario.Servers.Count
 		m.mu.Unlock()
 		next, err := m.newServer(number)
 		if err != nil {
@@ -146,7 +146,7 @@
 			return
 		}
 		m.mu.Lock()
-		m.current[place] = next
+		m.current[slot] = next
 		m.mu.Unlock()
 		m.startServer(next)
 	})
--- a/internal/lab/fleet/usage.go
+++ b/internal/lab/fleet/usage.go
@@ -30,9 +30,9 @@
 	return u, nil
 }
 
-// userHZ is the unit of times in /proc/PID/stat (proc_pid_stat(5)): USER_HZ,
+// clockTick is the unit of times in /proc/PID/stat (proc_pid_stat(5)): USER_HZ,
 // which Linux keeps at 100 a second on all machines that Go runs on.
-const userHZ = 10 * time.Millisecond
+const clockTick = 10 * time.Millisecond
 
 // usageOf reads /proc. Where the system has it, the time comes from
 // /proc/PID/task/*/schedstat, in nanoseconds: a hundredth of a second is much
@@ -86,7 +86,7 @@
 	}
 	userTicks, userErr := strconv.ParseInt(fields[user], 10, 64)
 	systemTicks, systemErr := strconv.ParseInt(fields[system], 10, 64)
-	return time.Duration(userTicks+systemTicks) * userHZ, errors.Join(userErr, systemErr)
+	return time.Duration(userTicks+systemTicks) * clockTick, errors.Join(userErr, systemErr)
 }
 
 // schedTimeOf sums the threads' time on a processor. Threads that have ended
