--- a/internal/lab/fleet/addresses.go
+++ b/internal/lab/fleet/addresses.go
@@ -10,16 +10,17 @@
 
 const (
 	firstPort   = 10_000
-	portCount   = 20_000 // below the system's own ports for outgoing connections
-	maxOccupied = 100    // ports that are skipped
+	portCount   = 20_000 // the range ends below the system's ephemeral ports for outgoing connections
+	maxOccupied = 100    // occupied ports that FreeAddresses skips before it fails
 )
 
-// portsTried counts the ports that were tried; each is returned once.
+// portsTried counts the ports tried by all calls of FreeAddresses, so that none
+// is returned twice.
 var portsTried atomic.Int32
 
 // FreeAddresses returns n loopback addresses on which nothing listens. Their
-// host belongs to this process alone, so that neither another run nor an
-// outgoing connection takes one while a node is away.
+// host is derived from the id of this process, so that neither another run nor
+// an outgoing connection takes the address of a node that is being restarted.
 func FreeAddresses(n int) ([]string, error) {
 	pid := os.Getpid()
 	host := fmt.Sprintf("127.%d.%d.1", 64+pid/254%127, 1+pid%254)
@@ -29,7 +30,7 @@
 		ln, err := net.Listen("tcp", address)
 		if err != nil {
 			if tries > n+maxOccupied {
-				return nil, fmt.Errorf("fleet: no free address: %w", err)
+				return nil, fmt.Errorf("fleet: no free address after %d tries, want %d addresses: %w", tries+1, n, err)
 			}
 			continue
 		}
--- a/internal/lab/fleet/attempts.go
+++ b/internal/lab/fleet/attempts.go
@@ -2,9 +2,9 @@
 
 import "bankshift/internal/lab/load"
 
-// recordAttempts counts the attempts from the servers' execution logs, and
-// checks that no request that is not idempotent was executed twice, whatever
-// its tries. It returns how many copies overlapped.
+// recordAttempts counts the attempts from the servers' execution logs. It checks
+// that no request that is not idempotent was executed more than once over all
+// tries of its client, and returns how many copies overlapped.
 func (x *measurement) recordAttempts(stream []load.Request) (overlaps int) {
 	m := x.run
 	zones := m.loggedZones()
@@ -23,14 +23,16 @@
 	return overlaps
 }
 
-// tryCounts is what the servers saw of one try.
+// tryCounts sums up what the servers recorded of one try; see
+// emulator.RequestLog.
 type tryCounts struct {
 	copies     int
 	executions int
 	overlaps   int
 }
 
-// recordTry counts the attempts of one try, at the servers of some zones.
+// recordTry counts the attempts of one try, which id names, at the servers of the
+// given zones, and checks their number against the scenario's limit.
 func (x *measurement) recordTry(r *load.Request, id string, zones []string) tryCounts {
 	m := x.run
 	var counts tryCounts
@@ -58,7 +60,7 @@
 	return counts
 }
 
-// recordCrossings counts copies that went from one zone to another.
+// recordCrossings counts copies that were sent to another zone or region.
 func (x *measurement) recordCrossings(from, to string, copies int) {
 	q := &x.result.Requests
 	switch {
@@ -70,7 +72,8 @@
 	}
 }
 
-// loggedZones are the zones with servers, in the scenario's order.
+// loggedZones returns the names of the zones that have servers, and so an
+// execution log, in the scenario's order.
 func (m *run) loggedZones() []string {
 	var zones []string
 	for _, z := range m.scenario.Zones {
--- a/internal/lab/fleet/build.go
+++ b/internal/lab/fleet/build.go
@@ -7,9 +7,9 @@
 	"path/filepath"
 )
 
-// Build builds the node into dir as the deployment does, and returns the
-// path of the program. It runs in the module's tree, wherever in it the working
-// directory is.
+// Build builds the node's program into dir with the same flags as the deployment
+// and returns its path. The working directory must be in this module's tree, at
+// any depth.
 func Build(ctx context.Context, dir string) (string, error) {
 	path := filepath.Join(dir, "bankshift")
 	cmd := exec.CommandContext(ctx, "go", "build", "-buildvcs=false", "-ldflags=-linkmode=external", "-o", path, "bankshift/cmd/bankshift")
--- a/internal/lab/fleet/faults.go
+++ b/internal/lab/fleet/faults.go
@@ -8,7 +8,8 @@
 	"bankshift/internal/lab/setup"
 )
 
-// schedule calls do at a time of the traffic, unless the steps have ended.
+// schedule arranges that do is called at a time after the start of the traffic.
+// After endSteps it does nothing.
 func (m *run) schedule(at time.Duration, do func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -22,7 +23,7 @@
 	}))
 }
 
-// endSteps cancels the scheduled steps and waits for those under way.
+// endSteps cancels the scheduled steps and waits for those in progress.
 func (m *run) endSteps() {
 	m.mu.Lock()
 	m.stepsEnded = true
@@ -37,7 +38,8 @@
 	m.steps.Wait()
 }
 
-// scheduleEvent schedules the steps of event i.
+// scheduleEvent schedules the steps of event i and adds the event to the event
+// log.
 func (m *run) scheduleEvent(i int) {
 	e := m.scenario.Events[i]
 	steps := m.scenario.Steps(i)
@@ -47,6 +49,7 @@
 	m.eventLog = append(m.eventLog, e.Describe(steps, false))
 }
 
+// scheduleStep schedules one step of an event, and its end if it has one.
 func (m *run) scheduleStep(e scenario.Event, step scenario.Step) {
 	if begin, end := m.serverAction(e, step.Index); begin != nil {
 		m.scheduleServerAction(step, begin, end)
@@ -64,18 +67,19 @@
 		m.scheduleOutage(step, m.registry.SetSilent)
 	case scenario.WatchesBreak:
 		m.schedule(step.At, m.registry.ResetWatches)
-	case scenario.Burst: // package arrivals plays it
+	case scenario.Burst: // package arrivals generates the additional requests
 	}
 }
 
-// kill ends a process at once.
+// kill kills a process, in the form that restartNode requires.
 func kill(p *Process) error {
 	p.Kill()
 	return nil
 }
 
-// serverAction returns what an event does to a server at its beginning and at
-// its end. begin is nil for other events, end for those that have none.
+// serverAction returns what an event does to the server in a slot when the event
+// begins and when it ends. begin is nil if the event does not act on servers;
+// end is nil if nothing is to be undone.
 func (m *run) serverAction(e scenario.Event, slot int) (begin, end func(*server)) {
 	switch e.Action {
 	case scenario.RestartServers:
@@ -102,8 +106,9 @@
 	return nil, nil
 }
 
-// scheduleServerAction applies a fault to the server that is in a place when it
-// begins, and ends it for that server, not for a successor.
+// scheduleServerAction schedules begin for the server that is in the step's slot
+// at that time, and end for the same server, even if a successor has replaced
+// it.
 func (m *run) scheduleServerAction(step scenario.Step, begin, end func(*server)) {
 	m.schedule(step.At, func() {
 		m.mu.Lock()
@@ -116,12 +121,13 @@
 	})
 }
 
-// changeWeight makes a harmless change of the list.
+// changeWeight publishes a small change of a server's weight, as a list change
+// without other effects.
 func (m *run) changeWeight(sv *server) {
 	m.publish(sv, func(e *model.Entry) { e.Weight = setup.ChangedWeight(m.listVersions) })
 }
 
-// scheduleOutage schedules an outage of discovery.
+// scheduleOutage schedules the start and the end of an outage of discovery.
 func (m *run) scheduleOutage(step scenario.Step, set func(on bool)) {
 	m.schedule(step.At, func() { set(true) })
 	m.schedule(step.Until, func() { set(false) })
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,12 +1,11 @@
-// Package fleet plays a scenario with real processes: the node's own program,
-// started as the platform starts it, in front of emulated servers and an
-// emulated discovery in this process, all on loopback, with clients' requests
-// from package load.
+// Package fleet runs a scenario with real processes: the node's own program,
+// started as the platform starts it, with servers and discovery that this
+// process emulates, all on loopback. Package load sends the clients' requests.
 //
-// The network is not played: its delays, late dials and partitions are for
-// hollow runs, and the event Cut is rejected. Attempts are counted as copies
-// that reached a server, so that connections that were not established are
-// missing. When a node learned of a change is not seen.
+// The network is not emulated: delays, late dials and partitions need a hollow
+// run, and scenarios with the event Cut are rejected. Attempts are counted as
+// copies that reached a server, so connections that were never established are
+// not counted. The run cannot observe when a node learns of a list change.
 package fleet
 
 import (
@@ -25,8 +24,9 @@
 	"bankshift/internal/lab/setup"
 )
 
-// Limits of what one machine can play: a few dozen nodes of some 25 MB, and a
-// generator and servers that use well under its processors' capacity.
+// Limits of what one machine can run: a few dozen nodes of about 25 MB each,
+// while the load generator and the emulated servers use well under the capacity
+// of its processors.
 const (
 	MaxNodes   = 64
 	MaxServers = 600
@@ -34,49 +34,56 @@
 )
 
 const (
-	settleTime    = time.Second           // from the last node's being ready to the traffic
-	responseSlack = 70 * time.Millisecond // past the deadline: 20 ms of the settings, 50 ms for sockets
-	maxViolations = 20                    // described one by one
+	settleTime = time.Second // between the time when all nodes are ready and the first request
 
-	// maxSendDelayFraction of the tightest objective is a delay of the
-	// generator that clients would not notice.
+	// responseSlack is how long past the deadline a client waits for a response:
+	// 20 ms that the nodes' settings allow and 50 ms for the sockets.
+	responseSlack = 70 * time.Millisecond
+
+	maxViolations = 20 // violations that are described one by one
+
+	// maxSendDelayFraction is the largest acceptable send delay of the load
+	// generator, as a fraction of the tightest latency objective. Clients would
+	// not notice such a delay.
 	maxSendDelayFraction = 0.02
 )
 
-// Options say how to run.
+// Options are the options of Run.
 type Options struct {
-	Node string // path of the node's program; "": it is built first
+	Node string // path of the node's program; "": Run builds it first
 }
 
-// ErrTooLarge means that a scenario is for hollow nodes alone.
+// ErrTooLarge means that a scenario exceeds MaxNodes, MaxServers or MaxRate and
+// can only be run with hollow nodes.
 var ErrTooLarge = errors.New("too large for real processes")
 
-// run is a scenario that is being played. Its owner calls close.
+// run is the state of one scenario run. Its creator must call close.
 type run struct {
 	scenario     *scenario.Scenario
 	ctx          context.Context
-	program      string // path of the node's
-	dir          string // for configurations
+	program      string // path of the node's program
+	dir          string // for the nodes' configuration files
 	epoch        time.Time
 	trafficStart time.Time
 	registry     *emulator.Registry
-	steps        sync.WaitGroup // of events, scheduled or under way
+	steps        sync.WaitGroup // steps of events that are scheduled or in progress
 
 	mu            sync.Mutex
-	timers        []*time.Timer // of steps
-	stepsEnded    bool          // no more steps begin
+	timers        []*time.Timer // of the scheduled steps
+	stepsEnded    bool          // no further step may start
 	nodes         []*nodeSlot
-	servers       []*server // all there ever were
-	current       []*server // the one in each place now
+	servers       []*server // all servers of the run, removed ones included
+	current       []*server // by slot: the server that fills it now
 	keyStores     setup.KeyStores
 	executionLogs map[string]*emulator.ExecutionLog // by zone
-	listVersions  int                               // of the list, made by events
+	listVersions  int                               // versions of the list that events have published
 	successors    int                               // servers replaced so far
 	eventLog      []string
 	violations    []string
 }
 
-// Check reports why a scenario cannot be played with real processes.
+// Check returns an error that says why a scenario cannot be run with real
+// processes, or nil if it can.
 func Check(s *scenario.Scenario) error {
 	switch {
 	case s.Fleet.Nodes > MaxNodes:
@@ -88,15 +95,15 @@
 	}
 	for _, e := range s.Events {
 		if e.Action == scenario.Cut {
-			return errors.New("fleet: the event cut is played with hollow nodes only")
+			return fmt.Errorf("fleet: event %q at %v: partitions can only be run with hollow nodes", e.Action, e.At)
 		}
 	}
 	return nil
 }
 
-// Run plays a scenario and ends all that it started, however it ends. An error
-// means that the run could not be made; rules that were broken are in the
-// result's Violations.
+// Run runs a scenario. Before it returns, also with an error, it stops all that
+// it started. An error means that the run could not be completed; broken rules
+// are listed in the result's Violations.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (*result.Run, error) {
 	began := time.Now()
 	if err := Check(s); err != nil {
@@ -136,8 +143,8 @@
 	return r, nil
 }
 
-// close ends what is left of the run: events before what they act on, nodes
-// before what they talk to.
+// close stops what is left of the run: first the events, which act on nodes and
+// servers, then the nodes, which use the servers and discovery.
 func (m *run) close(cancel context.CancelFunc) {
 	m.endSteps()
 	cancel()
@@ -145,8 +152,8 @@
 	m.closeServers()
 }
 
-// setUp starts discovery, servers and nodes, and waits until the nodes are
-// ready.
+// setUp starts discovery, the servers and the nodes, waits until all nodes are
+// ready, and then for settleTime.
 func (m *run) setUp() error {
 	var err error
 	m.registry, err = emulator.NewRegistry(emulator.RegistryConfig{
@@ -161,7 +168,7 @@
 		return err
 	}
 	d := m.scenario.Discovery
-	if err := m.sleep(d.Delay.Std() + d.DelaySpread.Std()); err != nil { // until the agents have the list
+	if err := m.sleep(d.Delay.Std() + d.DelaySpread.Std()); err != nil { // after which the nodes' discovery agents have the list
 		return err
 	}
 	if err := m.startNodes(); err != nil {
@@ -170,7 +177,8 @@
 	return m.sleep(settleTime)
 }
 
-// runTraffic plays the traffic and the events, and stops the nodes.
+// runTraffic sends the requests and runs the events, stops the nodes, and
+// returns the result.
 func (m *run) runTraffic() (*result.Run, error) {
 	s := m.scenario
 	m.eventLog = append(m.eventLog, m.describeStart())
@@ -205,6 +213,7 @@
 	return x.finish(report, stream), nil
 }
 
+// maxSendDelay is the load generator's largest acceptable send delay.
 func (m *run) maxSendDelay() time.Duration {
 	tightest := m.scenario.Classes[0].LatencyObjective
 	for _, c := range m.scenario.Classes {
@@ -213,10 +222,11 @@
 	return time.Duration(maxSendDelayFraction * float64(tightest))
 }
 
-// rand is a stream of randomness of the run's seed.
+// rand returns a random generator for one stream of the scenario's seed.
 func (m *run) rand(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(m.scenario.Seed, stream)) }
 
-// sleep waits for d, or returns the run's error if that ends first.
+// sleep waits for d. If the run's context ends first, it returns the context's
+// error.
 func (m *run) sleep(d time.Duration) error {
 	select {
 	case <-time.After(d):
@@ -226,7 +236,8 @@
 	}
 }
 
-// violation records that a rule was broken.
+// violation records the description of a broken rule. After maxViolations only
+// "and more" is added.
 func (m *run) violation(format string, args ...any) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -12,33 +12,33 @@
 	"bankshift/internal/lab/setup"
 )
 
-// listBytesPerSecond is what a node may use for its list, by the operators'
-// plan.
+// listBytesPerSecond is the list traffic that the operators' plan allows for
+// each node.
 const listBytesPerSecond = 3000
 
-// measurement is what a run keeps for its result.
+// measurement collects the data for the result of a run.
 type measurement struct {
 	run            *run
 	result         *result.Run
 	from           snapshot // at the end of the warm-up
 	to             snapshot // at the end of the traffic
-	bytesPerSecond []int64  // list traffic of all nodes, since the warm-up
-	memory         int64    // peak of the largest node, in bytes
+	bytesPerSecond []int64  // list traffic of all nodes in each second after the warm-up
+	memory         int64    // in bytes: the largest peak memory of any node
 
-	mu       sync.Mutex // guards the following and result while requests run
+	mu       sync.Mutex // guards the fields below, and result while requests are in progress
 	requests []requestRecord
 	latency  map[string]result.Histogram // by class, and "all"
 	added    result.Histogram
 }
 
-// requestRecord is what is known of a request besides its load.Request.
+// requestRecord holds the data of a request that load.Request does not contain.
 type requestRecord struct {
-	class       int
+	class       int // index in the scenario's classes
 	withinQuota bool
-	tries       int
+	tries       int // by its client; set when the request has ended
 }
 
-// snapshot is a run's totals at one time.
+// snapshot holds the totals of a run at one time.
 type snapshot struct {
 	lists        []emulator.RegistryStats // by node
 	cpu          time.Duration            // of all nodes
@@ -62,7 +62,7 @@
 	return x
 }
 
-// listStats reads discovery's counts by node.
+// listStats returns discovery's counts of list traffic by node.
 func (x *measurement) listStats() []emulator.RegistryStats {
 	var lists []emulator.RegistryStats
 	for i := range x.run.scenario.Fleet.Nodes {
@@ -71,7 +71,8 @@
 	return lists
 }
 
-// takeSnapshot reads all totals.
+// takeSnapshot reads all totals, and raises x.memory to the largest peak memory
+// of the nodes.
 func (x *measurement) takeSnapshot() snapshot {
 	m := x.run
 	s := snapshot{lists: x.listStats()}
@@ -80,7 +81,7 @@
 	for _, n := range m.nodes {
 		for _, p := range n.processes {
 			u, err := p.Usage()
-			if err != nil { // it has just ended
+			if err != nil { // the process ended during the call: read its final usage
 				u, _ = p.Usage()
 			}
 			s.cpu += u.CPU
@@ -97,6 +98,7 @@
 	return s
 }
 
+// sumBytes is the list traffic of all nodes, in both directions.
 func sumBytes(lists []emulator.RegistryStats) int64 {
 	sum := int64(0)
 	for _, l := range lists {
@@ -105,8 +107,8 @@
 	return sum
 }
 
-// sample reads the totals at the end of the warm-up, at each second, and at the
-// end of the traffic.
+// sample takes a snapshot at the end of the warm-up and one at the end of the
+// traffic. In between it reads the list traffic every second.
 func (x *measurement) sample() {
 	m := x.run
 	warmup := m.scenario.Warmup.Std()
@@ -132,15 +134,17 @@
 	}
 }
 
-// windowOf is the second in which a request's first try was to be sent.
+// windowOf returns the window of the second in which the first try of a request
+// was due.
 func (x *measurement) windowOf(r *load.Request) *result.Window {
 	return &x.result.Windows[min(int(r.At/time.Second), len(x.result.Windows)-1)]
 }
 
-// measured reports whether a request's first try is after the warm-up.
+// measured reports whether the first try of a request was due after the warm-up.
 func (x *measurement) measured(r *load.Request) bool { return r.At >= x.run.scenario.Warmup.Std() }
 
-// recordResult counts how a request ended. See load.Config.Done.
+// recordResult counts the outcome of a request. It is the load.Config.Done of
+// the run.
 func (x *measurement) recordResult(i int, r *load.Request, outcome load.Result) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -163,7 +167,8 @@
 	}
 }
 
-// recordLatency adds a served request to the latencies.
+// recordLatency adds a served request to the latency histograms, unless it
+// belongs to the warm-up.
 func (x *measurement) recordLatency(r *load.Request, class string, outcome load.Result) {
 	if !x.measured(r) {
 		return
@@ -175,7 +180,8 @@
 	}
 }
 
-// finish sums up the run.
+// finish computes the result of the run and checks it against the scenario's
+// bounds.
 func (x *measurement) finish(report *load.Report, stream []load.Request) *result.Run {
 	m := x.run
 	r := x.result
@@ -186,7 +192,9 @@
 	r.Added = x.added.Latency()
 	r.Events = append(r.Events, m.eventLog...)
 	x.reportControl()
-	r.Peaks["overlapping_copies"] = result.Peak{Worst: float64(overlaps)} // over the run; a server may see a close late
+	// The count covers the whole run. It may include copies that did not overlap: a
+	// server may notice late that a node has closed the connection of the previous copy.
+	r.Peaks["overlapping_copies"] = result.Peak{Worst: float64(overlaps)}
 	r.Crashes = x.to.crashes - x.from.crashes
 	if work := x.to.work - x.from.work; work > 0 {
 		r.Requests.Wasted = float64(x.to.wasted-x.from.wasted) / float64(work)
@@ -203,7 +211,7 @@
 	return r
 }
 
-// reportControl sums up the list traffic.
+// reportControl fills the figures on list traffic into the result.
 func (x *measurement) reportControl() {
 	r := x.result
 	c := &r.Control
--- a/internal/lab/fleet/nodes.go
+++ b/internal/lab/fleet/nodes.go
@@ -14,24 +14,24 @@
 	"bankshift/internal/lab/setup"
 )
 
-// nodeSlot is a node's place: its processes, one after the other. Fields below
-// address are guarded by run.mu.
+// nodeSlot is one node of the scenario, with the processes that have run as this
+// node one after the other. run.mu guards the fields below address.
 type nodeSlot struct {
 	index   int
 	zone    string
 	address string
 
 	processes        []*Process
-	available        bool // ready, and not about to end
-	draining         bool // its present process shuts down in order
-	unavailableSince time.Time
+	available        bool      // ready, and not being stopped
+	draining         bool      // a graceful restart has begun, and the next process is not ready yet
+	unavailableSince time.Time // when the node last became unavailable
 }
 
-// process is the present process.
+// process returns the node's latest process.
 func (n *nodeSlot) process() *Process { return n.processes[len(n.processes)-1] }
 
-// startNodes starts all nodes over the scenario's spread, and waits until they
-// are ready.
+// startNodes starts all nodes, spread evenly over the scenario's StartSpread, and
+// waits until they are ready.
 func (m *run) startNodes() error {
 	addresses, err := FreeAddresses(m.scenario.Fleet.Nodes)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return all
 }
 
-// startNode starts a node's next process and waits until it is ready.
+// startNode starts a new process for a node and waits until it is ready.
 func (m *run) startNode(n *nodeSlot) error {
 	known := m.knownList()
 	m.mu.Lock()
@@ -90,11 +90,11 @@
 	return nil
 }
 
-// maxProcs is a node's GOMAXPROCS: the whole cores that contain its fraction, as
-// on the platform, where a node sees a machine of its own.
+// maxProcs is the GOMAXPROCS of a node: its cores, which may be a fraction,
+// rounded up, as on the platform, where a node sees a machine of its own.
 func (m *run) maxProcs() int { return max(1, int(math.Ceil(m.scenario.Fleet.Cores))) }
 
-// knownList is the present list, as a configuration contains it.
+// knownList returns the current list in the form of a node's configuration.
 func (m *run) knownList() json.RawMessage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,7 +107,8 @@
 	return model.EncodeSnapshot(m.registry.Version(), entries)
 }
 
-// describeStart says how long the nodes took to be ready.
+// describeStart returns the entry of the event log that says how long the nodes
+// took to become ready.
 func (m *run) describeStart() string {
 	const precision = time.Millisecond / 10
 	shortest := m.nodes[0].process().Ready
@@ -121,9 +122,10 @@
 		shortest.Round(precision), longest.Round(precision), m.maxProcs())
 }
 
-// route assigns clients' connections to nodes as a load balancer in front does:
-// away from a node that shuts down at once, from one that died only after the
-// failover delay. See load.Config.Route.
+// route assigns clients' connections to nodes, as a load balancer in front of
+// the nodes does: it avoids a node as soon as a graceful shutdown begins, but
+// still sends first tries to a killed node until the failover delay has passed.
+// See load.Config.Route.
 func (m *run) route(r *load.Request, try int) (node int, address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -141,8 +143,8 @@
 	return other.index, other.address
 }
 
-// restartNode ends a node with stop and starts it again after the scenario's
-// restart time. It does nothing if the node is away already.
+// restartNode ends a node's process with stop and starts the next one after the
+// scenario's restart time. It does nothing if the node is unavailable already.
 func (m *run) restartNode(n *nodeSlot, draining bool, stop func(p *Process) error) {
 	m.mu.Lock()
 	if !n.available || m.stepsEnded {
@@ -165,8 +167,8 @@
 	}
 }
 
-// stopNodes ends the nodes in parallel as a planned restart does. A node that
-// had ended by itself is a violation.
+// stopNodes shuts all nodes down in parallel, as a planned restart does. It
+// records a violation for each node that had exited without being stopped.
 func (m *run) stopNodes() {
 	var stopping sync.WaitGroup
 	for _, n := range m.nodes {
@@ -186,7 +188,7 @@
 	stopping.Wait()
 }
 
-// killNodes ends what is left of the nodes.
+// killNodes kills all node processes that are still running.
 func (m *run) killNodes() {
 	for _, n := range m.nodes {
 		for _, p := range n.processes {
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -16,36 +16,35 @@
 )
 
 const (
-	// ReadyTimeout bounds the wait for a node to be ready. Clients come after
-	// 30 s whether or not it is.
+	// ReadyTimeout limits the wait for a node to become ready. Clients use a node
+	// 30 s after its start whether or not it is ready.
 	ReadyTimeout = 30 * time.Second
 
-	// stopTimeout bounds the wait after SIGTERM: the longest time that the
-	// platform leaves a node before SIGKILL, and half a second for a busy
-	// machine.
+	// stopTimeout limits the wait after SIGTERM. It is the longest time before
+	// the platform sends SIGKILL (3.7 s) plus 0.5 s for a busy machine.
 	stopTimeout = 4200 * time.Millisecond
 
-	readyInterval = time.Millisecond // between checks whether a node is ready
-	maxLogBytes   = 16 << 10         // kept of a node's log, its end
+	readyInterval = time.Millisecond // between two readiness checks
+	maxLogBytes   = 16 << 10         // how much of the end of a node's log is kept
 )
 
-// Process is one real node.
+// Process is an operating system process that runs one node.
 type Process struct {
 	Name    string
-	Address string        // for clients
-	Ready   time.Duration // from its start to its first 200 at /health/ready
+	Address string        // on which it serves clients
+	Ready   time.Duration // time from its start to its first 200 at /health/ready
 
 	cmd *exec.Cmd
 	log logTail
 
-	ended chan struct{} // closed after the process has been waited for
-	err   error         // of Wait; valid after ended
-	state *os.ProcessState
+	ended chan struct{}    // closed after the process has been waited for
+	err   error            // of cmd.Wait; set before ended is closed
+	state *os.ProcessState // set before ended is closed
 }
 
-// Start starts the program at path with a configuration, which it writes to a
-// file in dir. The process is killed when ctx ends, and with the program that
-// started it. threads is its GOMAXPROCS; 0: the default.
+// Start writes config to the file name.json in dir and starts the program at
+// path with it. The process is killed when ctx ends or when the program that
+// started it exits. maxProcs is its GOMAXPROCS; 0: the default.
 func Start(ctx context.Context, path, dir, name, address string, config []byte, maxProcs int) (*Process, error) {
 	file := filepath.Join(dir, name+".json")
 	if err := os.WriteFile(file, config, 0o600); err != nil {
@@ -60,7 +59,7 @@
 	p.cmd.Stdout = &p.log
 	p.cmd.Stderr = &p.log
 	p.cmd.WaitDelay = time.Second
-	// A node must not outlive the lab, however that ends.
+	// The kernel kills the node when the lab exits, even if the lab was killed.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("fleet: %s: %w", name, err)
@@ -69,6 +68,8 @@
 	return p, nil
 }
 
+// wait waits until the process exits, and then sets err and state and closes
+// ended.
 func (p *Process) wait() {
 	p.err = p.cmd.Wait()
 	p.state = p.cmd.ProcessState
@@ -76,7 +77,8 @@
 }
 
 // AwaitReady waits until the node answers 200 at /health/ready, and sets Ready
-// to the time since began.
+// to the time since began. It fails if the process exits first, or after
+// ReadyTimeout.
 func (p *Process) AwaitReady(ctx context.Context, began time.Time) error {
 	ctx, cancel := context.WithTimeout(ctx, ReadyTimeout)
 	defer cancel()
@@ -100,8 +102,8 @@
 	}
 }
 
-// isReady requests /health/ready once. A node that does not answer is not
-// ready.
+// isReady requests /health/ready once. It returns false without an error for a
+// node that does not answer.
 func (p *Process) isReady(ctx context.Context, client *http.Client) (bool, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Address+"/health/ready", nil)
 	if err != nil {
@@ -116,13 +118,13 @@
 	return resp.StatusCode == http.StatusOK, nil
 }
 
-// Pid is the process's id.
+// Pid returns the process id.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
 // Signal sends a signal to the process.
 func (p *Process) Signal(s os.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Alive reports whether the process has not ended yet.
+// Alive reports whether the process is still running.
 func (p *Process) Alive() bool {
 	select {
 	case <-p.ended:
@@ -132,20 +134,20 @@
 	}
 }
 
-// Log is the end of the node's log.
+// Log returns the end of the node's log.
 func (p *Process) Log() string { return p.log.String() }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
-	p.cmd.Process.Kill() // fails only if it has ended
+	p.cmd.Process.Kill() // fails only if the process has exited
 	<-p.ended
 }
 
-// Stop ends the process as a planned restart does, with SIGTERM, and with
-// SIGKILL after stopTimeout, which is an error, as is an exit status other than
-// 0.
+// Stop ends the process as a planned restart does: it sends SIGTERM, and SIGKILL
+// after stopTimeout. It returns an error if SIGKILL was needed or the exit
+// status is not 0.
 func (p *Process) Stop(ctx context.Context) error {
-	p.cmd.Process.Signal(syscall.SIGTERM) // fails only if it has ended
+	p.cmd.Process.Signal(syscall.SIGTERM) // fails only if the process has exited
 	t := time.NewTimer(stopTimeout)
 	defer t.Stop()
 	select {
@@ -163,8 +165,8 @@
 	}
 }
 
-// logTail keeps the end of what is written to it. It is safe for concurrent
-// use.
+// logTail is a writer that keeps at least the last maxLogBytes written to it. It
+// is safe for concurrent use.
 type logTail struct {
 	mu  sync.Mutex
 	buf []byte
@@ -181,7 +183,7 @@
 	return len(b), nil
 }
 
-// String is the last maxLogBytes that were written.
+// String returns the last maxLogBytes that were written.
 func (t *logTail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/lab/fleet/requests.go
+++ b/internal/lab/fleet/requests.go
@@ -11,14 +11,16 @@
 	"bankshift/internal/lab/setup"
 )
 
+// loadIdempotency translates the scenario's kinds of idempotency for package
+// load.
 var loadIdempotency = map[scenario.Idempotency]load.Idempotency{
 	scenario.Idempotent:      load.Idempotent,
 	scenario.IdempotentByKey: load.IdempotentByKey,
 	scenario.NotIdempotent:   load.NotIdempotent,
 }
 
-// drawRequests draws the scenario's requests, and tells the measurement of
-// each.
+// drawRequests generates the scenario's requests from its seed, and adds a
+// requestRecord for each to the measurement.
 func (m *run) drawRequests(x *measurement) []load.Request {
 	quotas := setup.NewQuotas(m.scenario.Traffic.Tenants, m.scenario.Traffic.Quota)
 	var stream []load.Request
@@ -30,7 +32,7 @@
 	return stream
 }
 
-// request is an arrival as package load plays it.
+// request converts an arrival into the request that package load sends.
 func (m *run) request(a arrivals.Arrival) load.Request {
 	class := m.scenario.Classes[a.Class]
 	r := load.Request{
--- a/internal/lab/fleet/servers.go
+++ b/internal/lab/fleet/servers.go
@@ -8,18 +8,19 @@
 	"bankshift/internal/lab/setup"
 )
 
-// restartCheckInterval is between checks for servers that started by
-// themselves, after a crash.
+// restartCheckInterval is the time between two checks for servers that have
+// restarted by themselves after a crash.
 const restartCheckInterval = 100 * time.Millisecond
 
 // server is one emulated backend and its entry in the list.
 type server struct {
 	process      *emulator.Server
 	entry        model.Entry // guarded by run.mu
-	listedStarts int         // starts that are listed; guarded by run.mu
+	listedStarts int         // how many starts of the process discovery has been told of; guarded by run.mu
 }
 
-// startServers starts the scenario's servers and publishes them as one version.
+// startServers starts the scenario's servers and publishes them as one version
+// of the list.
 func (m *run) startServers() error {
 	var entries []model.Entry
 	for i := range m.scenario.Servers.Count {
@@ -34,7 +35,7 @@
 	return m.registry.Change(entries...)
 }
 
-// newServer starts server i, warm. It is not listed yet.
+// newServer starts server i, already warmed up, but does not publish it.
 func (m *run) newServer(i int) (*server, error) {
 	description := m.scenario.Server(i)
 	m.mu.Lock()
@@ -56,7 +57,8 @@
 	return sv, nil
 }
 
-// executionLog is that of a zone's servers. The caller holds mu.
+// executionLog returns the log that the servers of a zone share. The caller
+// holds m.mu.
 func (m *run) executionLog(zone string) *emulator.ExecutionLog {
 	if m.executionLogs[zone] == nil {
 		m.executionLogs[zone] = &emulator.ExecutionLog{}
@@ -64,8 +66,8 @@
 	return m.executionLogs[zone]
 }
 
-// publish changes a server's entry and makes it a new version of the list. A
-// server that has been removed stays away.
+// publish changes a server's entry and publishes a new version of the list. It
+// does nothing for a server that has been removed.
 func (m *run) publish(sv *server, change func(*model.Entry)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,13 +81,13 @@
 	}
 }
 
-// setStatus publishes a server with a status.
+// setStatus publishes a new status of a server.
 func (m *run) setStatus(sv *server, status string) {
 	m.publish(sv, func(e *model.Entry) { e.Status = status })
 }
 
-// startServer starts a server's process, which warms up, and publishes the start. A
-// server that has been replaced meanwhile stays away.
+// startServer starts a server's process, which has to warm up, and publishes the
+// start. It does nothing for a server that has been replaced in the meantime.
 func (m *run) startServer(sv *server) {
 	m.mu.Lock()
 	removed := sv.entry.Status == model.Removed
@@ -97,7 +99,8 @@
 	m.publishStart(sv)
 }
 
-// publishStart publishes the server's last start, if it is not listed yet.
+// publishStart publishes the latest start of a server, unless it has been
+// published already.
 func (m *run) publishStart(sv *server) {
 	starts := sv.process.Stats().Starts
 	m.mu.Lock()
@@ -115,8 +118,9 @@
 	})
 }
 
-// publishRestarts publishes, until a time of the traffic, servers that started
-// by themselves.
+// publishRestarts publishes the servers that have restarted by themselves, and
+// repeats this every restartCheckInterval until a time after the start of the
+// traffic.
 func (m *run) publishRestarts(until time.Duration) {
 	m.mu.Lock()
 	servers := append([]*server(nil), m.servers...)
@@ -129,8 +133,8 @@
 	}
 }
 
-// replaceServer drains a server, ends it after twice the drain grace, and
-// starts its successor, under a new name, in its place.
+// replaceServer drains a server, kills and removes it after twice the drain
+// grace, and starts a successor with a new name in its slot.
 func (m *run) replaceServer(sv *server, slot int) {
 	m.setStatus(sv, model.Draining)
 	m.schedule(time.Since(m.trafficStart)+2*m.scenario.Discovery.DrainGrace.Std(), func() {
@@ -152,8 +156,8 @@
 	})
 }
 
-// closeServers ends the servers and discovery. A port lost at the end does no
-// harm, so errors are ignored.
+// closeServers closes the servers and discovery. It ignores errors: a port that
+// stays occupied at the end of a run does no harm.
 func (m *run) closeServers() {
 	for _, sv := range m.servers {
 		sv.process.Close()
--- a/internal/lab/fleet/usage.go
+++ b/internal/lab/fleet/usage.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// Usage is what a process has used of the machine.
+// Usage is the processor time and the memory that a process has used.
 type Usage struct {
 	CPU    time.Duration // user and system time of all its threads
 	Memory int64         // bytes, peak resident size (VmHWM)
 }
 
-// Usage reads what the process has used so far; after its end, in total.
+// Usage returns what the process has used so far, or in total if it has exited.
 func (p *Process) Usage() (Usage, error) {
 	if p.Alive() {
 		return usageOf(p.Pid())
@@ -30,13 +30,14 @@
 	return u, nil
 }
 
-// clockTick is the unit of times in /proc/PID/stat (proc_pid_stat(5)): USER_HZ,
-// which Linux keeps at 100 a second on all machines that Go runs on.
+// clockTick is the unit of times in /proc/PID/stat, see proc_pid_stat(5). It
+// follows from USER_HZ, which is 100 on all Linux machines that Go supports.
 const clockTick = 10 * time.Millisecond
 
-// usageOf reads /proc. Where the system has it, the time comes from
-// /proc/PID/task/*/schedstat, in nanoseconds: a hundredth of a second is much
-// of what an idle node takes in some seconds.
+// usageOf reads the usage of a running process from /proc. If the system has
+// /proc/PID/task/*/schedstat, the processor time comes from there, in
+// nanoseconds: the clock tick of 1/100 s is too coarse, as it is a large part of
+// what an idle node uses in a few seconds.
 func usageOf(pid int) (Usage, error) {
 	dir := "/proc/" + strconv.Itoa(pid)
 	status, err := os.ReadFile(dir + "/status")
@@ -62,7 +63,8 @@
 	return u, nil
 }
 
-// peakMemory reads VmHWM, in bytes; 0 if there is none.
+// peakMemory reads VmHWM from /proc/PID/status and returns it in bytes; 0 if
+// there is no such line.
 func peakMemory(status string) (int64, error) {
 	for line := range strings.SplitSeq(status, "\n") {
 		value, ok := strings.CutPrefix(line, "VmHWM:")
@@ -75,22 +77,25 @@
 	return 0, nil
 }
 
-// cpuOf reads utime and stime, the 14th and 15th fields of /proc/PID/stat. The
-// 2nd, the command's name in brackets, may contain anything.
+// cpuOf returns the sum of utime and stime, the 14th and 15th fields of
+// /proc/PID/stat. The fields are counted from the last closing parenthesis,
+// because the 2nd field, the command name in parentheses, may contain anything.
 func cpuOf(stat []byte) (time.Duration, error) {
-	const user, system = 11, 12 // after the name
+	const user, system = 11, 12 // indexes of the fields after the command name
 	end := bytes.LastIndexByte(stat, ')')
 	fields := strings.Fields(string(stat[end+1:]))
 	if end < 0 || len(fields) <= system {
-		return 0, errors.New("is not of the known form")
+		return 0, fmt.Errorf("unexpected format %q, want at least 15 fields", stat)
 	}
 	userTicks, userErr := strconv.ParseInt(fields[user], 10, 64)
 	systemTicks, systemErr := strconv.ParseInt(fields[system], 10, 64)
 	return time.Duration(userTicks+systemTicks) * clockTick, errors.Join(userErr, systemErr)
 }
 
-// schedTimeOf sums the threads' time on a processor. Threads that have ended
-// are missing, but those of Go's runtime stay.
+// schedTimeOf sums the time that the threads of a process have run, from their
+// schedstat files. Threads that have exited are not included, but Go's runtime
+// keeps its threads. The second result is false if the system has no such files
+// or one of them cannot be read.
 func schedTimeOf(dir string) (time.Duration, bool) {
 	files, _ := filepath.Glob(dir + "/task/*/schedstat")
 	var sum time.Duration
