--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -168,7 +168,8 @@
 		return err
 	}
 	d := m.scenario.Discovery
-	if err := m.sleep(d.Delay.Std() + d.DelaySpread.Std()); err != nil { // after which the nodes' discovery agents have the list
+	// After this time the nodes' discovery agents have the list.
+	if err := m.sleep(d.Delay.Std() + d.DelaySpread.Std()); err != nil {
 		return err
 	}
 	if err := m.startNodes(); err != nil {
