--- a/internal/lab/fleet/faults.go
+++ b/internal/lab/fleet/faults.go
@@ -8,11 +8,12 @@
 	"bankshift/internal/lab/setup"
 )
 
-// schedule calls do at a time of the traffic, unless the steps have ended.
+// schedule arranges that do is called at a time after the start of the traffic.
+// After endSteps it does nothing.
 func (m *run) schedule(at time.Duration, do func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.ended {
+	if m.stepsEnded {
 		return
 	}
 	m.steps.Add(1)
@@ -22,10 +23,10 @@
 	}))
 }
 
-// endSteps cancels the scheduled steps and waits for those under way.
+// endSteps cancels the scheduled steps and waits for those in progress.
 func (m *run) endSteps() {
 	m.mu.Lock()
-	m.ended = true
+	m.stepsEnded = true
 	timers := m.timers
 	m.timers = nil
 	m.mu.Unlock()
@@ -37,7 +38,8 @@
 	m.steps.Wait()
 }
 
-// scheduleEvent schedules the steps of event i.
+// scheduleEvent schedules the steps of event i and adds the event to the event
+// log.
 func (m *run) scheduleEvent(i int) {
 	e := m.scenario.Events[i]
 	steps := m.scenario.Steps(i)
@@ -47,9 +49,10 @@
 	m.eventLog = append(m.eventLog, e.Describe(steps, false))
 }
 
+// scheduleStep schedules one step of an event, and its end if it has one.
 func (m *run) scheduleStep(e scenario.Event, step scenario.Step) {
-	if begin, end := m.serverFault(e, step.Index); begin != nil {
-		m.scheduleServerFault(step, begin, end)
+	if begin, end := m.serverAction(e, step.Index); begin != nil {
+		m.scheduleServerAction(step, begin, end)
 		return
 	}
 	switch e.Action {
@@ -64,26 +67,27 @@
 		m.scheduleOutage(step, m.registry.SetSilent)
 	case scenario.WatchesBreak:
 		m.schedule(step.At, m.registry.ResetWatches)
-	case scenario.Burst: // package arrivals plays it
+	case scenario.Burst: // package arrivals generates the additional requests
 	}
 }
 
-// kill ends a process at once.
+// kill kills a process, in the form that restartNode requires.
 func kill(p *Process) error {
 	p.Kill()
 	return nil
 }
 
-// serverFault returns what an event does to a server at its beginning and at
-// its end. begin is nil for other events, end for those that have none.
-func (m *run) serverFault(e scenario.Event, place int) (begin, end func(*server)) {
+// serverAction returns what an event does to the server in a slot when the event
+// begins and when it ends. begin is nil if the event does not act on servers;
+// end is nil if nothing is to be undone.
+func (m *run) serverAction(e scenario.Event, slot int) (begin, end func(*server)) {
 	switch e.Action {
 	case scenario.RestartServers:
 		return func(sv *server) { sv.process.Kill() }, m.startServer
 	case scenario.LoseServers:
 		return func(sv *server) { sv.process.Disconnect() }, m.startServer
 	case scenario.ReplaceServers:
-		return func(sv *server) { m.replaceServer(sv, place) }, nil
+		return func(sv *server) { m.replaceServer(sv, slot) }, nil
 	case scenario.DrainServers:
 		return func(sv *server) { m.setStatus(sv, model.Draining) },
 			func(sv *server) { m.setStatus(sv, model.Ready) }
@@ -102,9 +106,10 @@
 	return nil, nil
 }
 
-// scheduleServerFault applies a fault to the server that is in a place when it
-// begins, and ends it for that server, not for a successor.
-func (m *run) scheduleServerFault(step scenario.Step, begin, end func(*server)) {
+// scheduleServerAction schedules begin for the server that is in the step's slot
+// at that time, and end for the same server, even if a successor has replaced
+// it.
+func (m *run) scheduleServerAction(step scenario.Step, begin, end func(*server)) {
 	m.schedule(step.At, func() {
 		m.mu.Lock()
 		sv := m.current[step.Index]
@@ -116,12 +121,13 @@
 	})
 }
 
-// changeWeight makes a harmless change of the list.
+// changeWeight publishes a small change of a server's weight, as a list change
+// without other effects.
 func (m *run) changeWeight(sv *server) {
-	m.publish(sv, func(e *model.Entry) { e.Weight = setup.ChangedWeight(m.versions) })
+	m.publish(sv, func(e *model.Entry) { e.Weight = setup.ChangedWeight(m.listVersions) })
 }
 
-// scheduleOutage schedules an outage of discovery.
+// scheduleOutage schedules the start and the end of an outage of discovery.
 func (m *run) scheduleOutage(step scenario.Step, set func(on bool)) {
 	m.schedule(step.At, func() { set(true) })
 	m.schedule(step.Until, func() { set(false) })
