--- a/cmd/bankshift-lab/main_test.go
+++ b/cmd/bankshift-lab/main_test.go
@@ -15,7 +15,7 @@
 	"bankshift/internal/lab/scaling"
 )
 
-const small = `
+const smallScenario = `
 length = "2s"
 warm = "500ms"
 [traffic]
@@ -45,13 +45,13 @@
 }
 
 func TestExitCodes(t *testing.T) {
-	good := scenarioFile(t, small)
-	bad := scenarioFile(t, small+"[holds]\nserved = 1\np99 = \"1ms\"\n")
-	large := scenarioFile(t, small+"[fleet]\nnodes = 1000\n")
+	good := scenarioFile(t, smallScenario)
+	bad := scenarioFile(t, smallScenario+"[holds]\nserved = 1\np99 = \"1ms\"\n")
+	large := scenarioFile(t, smallScenario+"[fleet]\nnodes = 1000\n")
 	for _, c := range []struct {
-		args []string
-		code int
-		says string // on either output
+		args       []string
+		code       int
+		wantOutput string // on either output
 	}{
 		{[]string{"run", good}, exitOK, "served"},
 		{[]string{"run", good, "--hollow", "--seed", "9"}, exitOK, "seed 9"},
@@ -68,15 +68,15 @@
 		{[]string{"slopes", "--help"}, exitOK, strings.Join(scaling.Names()[:2], ", ")},
 	} {
 		code, o, e := runLab(t, c.args...)
-		if code != c.code || !strings.Contains(o+e, c.says) {
-			t.Errorf("%q: exit code %d, want %d and %q in\n%s%s", c.args, code, c.code, c.says, o, e)
+		if code != c.code || !strings.Contains(o+e, c.wantOutput) {
+			t.Errorf("%q: exit code %d, want %d and %q in\n%s%s", c.args, code, c.code, c.wantOutput, o, e)
 		}
 	}
 }
 
 func TestJSON(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "run.json")
-	scenario := scenarioFile(t, small)
+	scenario := scenarioFile(t, smallScenario)
 	if code, o, e := runLab(t, "run", scenario, "--json", file); code != exitOK || !strings.Contains(o, "served") {
 		t.Fatalf("%d\n%s%s", code, o, e)
 	}
@@ -97,14 +97,14 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	var o, e bytes.Buffer
-	if code := run(ctx, []string{"run", scenarioFile(t, small)}, output{&o, &e}); code != exitUsage || !strings.Contains(e.String(), "canceled") {
+	if code := run(ctx, []string{"run", scenarioFile(t, smallScenario)}, output{&o, &e}); code != exitUsage || !strings.Contains(e.String(), "canceled") {
 		t.Errorf("exit code %d: %s", code, e.String())
 	}
 }
 
 // TestCompare: each quantity has its own tolerance.
 func TestCompare(t *testing.T) {
-	a := func() *result.Run {
+	baseline := func() *result.Run {
 		r := &result.Run{Kind: result.Real}
 		r.Requests.Offered, r.Requests.Served, r.Requests.Attempts, r.Control.NodeRate = 1000, 990, 1010, 1000
 		return r
@@ -114,26 +114,26 @@
 		func(r *result.Run) { r.Requests.Attempts += 31 },
 		func(r *result.Run) { r.Control.NodeRate *= 1.2 },
 	} {
-		r := a()
+		r := baseline()
 		change(r)
-		for j, c := range compare(a(), r) {
+		for j, c := range compare(baseline(), r) {
 			if c.agrees() != (i != j) {
 				t.Errorf("change %d: %+v agrees: %t", i, c, c.agrees())
 			}
 		}
 	}
-	r := a()
+	r := baseline()
 	r.Violations = []string{"a rule"}
 	var b bytes.Buffer
-	if err := printAgreement(&b, compare(a(), r), a(), r); err != nil || strings.Count(b.String(), "agree") != 3 || !strings.Contains(b.String(), "a rule") {
+	if err := printAgreement(&b, compare(baseline(), r), baseline(), r); err != nil || strings.Count(b.String(), "agree") != 3 || !strings.Contains(b.String(), "a rule") {
 		t.Errorf("%v\n%s", err, b.String())
 	}
 }
 
-// TestNodeStaysLean: the node and the simulator's adapter do not depend on the lab.
+// TestNodeDependencies: the node and the simulator's adapter do not depend on the lab.
 // Besides the standard library the adapter depends on no module, and the node on
 // the one package by which it asks the kernel about a connection.
-func TestNodeStaysLean(t *testing.T) {
+func TestNodeDependencies(t *testing.T) {
 	for program, modulePackages := range map[string][]string{
 		"bankshift/cmd/bankshift": {"golang.org/x/sys/unix"},
 		"bankshift/cmd/simhost":   nil,
--- a/internal/lab/result/result_test.go
+++ b/internal/lab/result/result_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestRunSurvivesJSON(t *testing.T) {
+func TestRunJSONRoundTrip(t *testing.T) {
 	s := &scenario.Scenario{Name: "some", Seed: 3, Length: scenario.Duration(5 * time.Second), Warmup: scenario.Duration(time.Second)}
 	r := New(s, Hollow)
 	r.Latency["all"] = Latency{Count: 2, Mean: 0.1, P50: 0.1, P90: 0.2, P99: 0.3, P999: 0.4, Max: 0.5}
@@ -39,9 +39,9 @@
 	if err := r.Write(&b); err != nil {
 		t.Fatal(err)
 	}
-	var again Run
-	if err := json.Unmarshal(b.Bytes(), &again); err != nil || !reflect.DeepEqual(*r, again) {
-		t.Errorf("error %v\n%+v, want\n%+v", err, again, *r)
+	var decoded Run
+	if err := json.Unmarshal(b.Bytes(), &decoded); err != nil || !reflect.DeepEqual(*r, decoded) {
+		t.Errorf("error %v\n%+v, want\n%+v", err, decoded, *r)
 	}
 	b.Reset()
 	if err := r.Table(&b); err != nil || !strings.Contains(b.String(), "BROKEN  ") || !strings.Contains(b.String(), "handshakes") {
@@ -114,8 +114,8 @@
 		if r.Scenario != name || r.Kind != Hollow && r.Kind != Real || r.Nodes == 0 || r.Requests.Offered == 0 || len(r.Windows) == 0 {
 			t.Errorf("%s: scenario %q, kind %q, %d nodes, %d requests, %d windows", file, r.Scenario, r.Kind, r.Nodes, r.Requests.Offered, len(r.Windows))
 		}
-		var again bytes.Buffer
-		if err := r.Write(&again); err != nil || !sameJSON(t, again.Bytes(), raw) {
+		var rewritten bytes.Buffer
+		if err := r.Write(&rewritten); err != nil || !sameJSON(t, rewritten.Bytes(), raw) {
 			t.Errorf("%s: written again it differs; error %v", file, err)
 		}
 	}
--- a/internal/lab/scaling/added.go
+++ b/internal/lab/scaling/added.go
@@ -22,7 +22,7 @@
 		}
 	}
 	p50 := figure("added by a node: 50 %", "ms", mechanismForward, 0)
-	p99 := figure("added by a node: 99 %", "ms", mechanismForward, budgetAdded)
+	p99 := figure("added by a node: 99 %", "ms", mechanismForward, budgetAddedLatency)
 	p999 := figure("added by a node: 99.9 %", "ms", mechanismForward, 0)
 	cpu := figure("node under traffic: processor", "% of a core", mechanismForward+"; "+mechanismHandle, 0)
 	rates := addedRates
@@ -30,7 +30,7 @@
 		rates = rates[:minPoints]
 	}
 	for _, rate := range rates {
-		r, err := e.playTraffic(ctx, rate)
+		r, err := e.runTraffic(ctx, rate)
 		if err != nil {
 			return nil, err
 		}
@@ -42,15 +42,15 @@
 	return []Figure{p50, p99, p999, cpu}, nil
 }
 
-// playTraffic plays requests at a rate to one real node.
-func (e *Env) playTraffic(ctx context.Context, rate float64) (*result.Run, error) {
+// runTraffic plays requests at a rate to one real node.
+func (e *Env) runTraffic(ctx context.Context, rate float64) (*result.Run, error) {
 	const connections = 400 // more than requests wait at the highest rate
-	s := plannedScenario(1, smallFleet)
+	s := plannedScenario(1, smallFleetServers)
 	s.Traffic.Rate = rate
 	s.Traffic.Connections = connections
 	s.Traffic.Retries = 0
 	s.Servers.Handshake = 0
-	s.Warmup = scenario.Duration(e.rest())
+	s.Warmup = scenario.Duration(e.settleTime())
 	s.Length = s.Warmup + scenario.Duration(e.measure())
 	r, err := fleet.Run(ctx, s, fleet.Options{Node: e.Node})
 	if err != nil {
--- a/internal/lab/scaling/decisions.go
+++ b/internal/lab/scaling/decisions.go
@@ -101,7 +101,7 @@
 
 // applyChange gives the balancer the i-th list change of one endpoint.
 func (b *benchBalancer) applyChange(i int) {
-	endpoint := b.endpoints[spread(i, len(b.endpoints))]
+	endpoint := b.endpoints[scatteredIndex(i, len(b.endpoints))]
 	endpoint.Weight = setup.ChangedWeight(i)
 	b.changes++
 	b.balancer.Handle(b.now, balancer.EndpointUpdate{
--- a/internal/lab/scaling/idle.go
+++ b/internal/lab/scaling/idle.go
@@ -38,7 +38,7 @@
 		return idleUse{}, err
 	}
 	defer n.close()
-	if err := sleep(ctx, e.rest()); err != nil {
+	if err := sleep(ctx, e.settleTime()); err != nil {
 		return idleUse{}, err
 	}
 	registry := n.registries[0]
@@ -117,7 +117,7 @@
 		return Figure{Name: s.name + ": " + name, Unit: unit, Over: s.over, Planned: s.planned, Budget: budget, Mechanism: mechanism}
 	}
 	cpu := figure("processor", "% of a core", mechanismTick+"; "+mechanismWatcher, budgetCPU)
-	traffic := figure("list traffic", "bytes/s", mechanismWatcher, budgetBytes)
+	traffic := figure("list traffic", "bytes/s", mechanismWatcher, budgetListRate)
 	calls := figure("calls to discovery", "1/s", mechanismWatcher, 0)
 	memory := figure("memory, peak", "MB", mechanismParse+"; "+mechanismApply, budgetMemory)
 	ready := figure("time to ready", "ms", mechanismStart, budgetPropagation)
--- a/internal/lab/scaling/lists.go
+++ b/internal/lab/scaling/lists.go
@@ -35,7 +35,7 @@
 			return nil, err
 		}
 		size.add(float64(n), float64(listBytes)/1e3)
-		budget.add(float64(n), float64(listBytes)/budgetBytes)
+		budget.add(float64(n), float64(listBytes)/budgetListRate)
 		apply.add(float64(n), seconds*1e3)
 	}
 	all := Figure{
@@ -61,7 +61,7 @@
 	}
 	f := Figure{
 		Name: "discovery: bytes sent and received", Unit: "KB/s", Over: "nodes x list changes/s",
-		Planned: plannedNodes * changesPerSecond, Budget: plannedNodes * budgetBytes / 1e3,
+		Planned: plannedNodes * changesPerSecond, Budget: plannedNodes * budgetListRate / 1e3,
 		Mechanism: mechanismWatcher, Note: "hollow nodes, pushed lists, 120 servers",
 	}
 	for _, nodes := range e.sizes([]int{50, 150, plannedNodes}, []int{2, 4, 8}) {
--- a/internal/lab/scaling/planned.go
+++ b/internal/lab/scaling/planned.go
@@ -19,19 +19,19 @@
 
 // What the plan grants a node.
 const (
-	budgetCPU         = 3.1  // % of a core
-	budgetMemory      = 256  // MB
-	budgetBytes       = 3000 // of list traffic, a second
-	budgetAdded       = 4.6  // ms, for 99 in 100 requests
-	budgetPropagation = 4000 // ms until a configuration is in force everywhere
+	budgetCPU          = 3.1  // % of a core
+	budgetMemory       = 256  // MB
+	budgetListRate     = 3000 // of list traffic, a second
+	budgetAddedLatency = 4.6  // ms, for 99 in 100 requests
+	budgetPropagation  = 4000 // ms until a configuration is in force everywhere
 )
 
 // serversPerNode is the plan's ratio, which all sizes keep.
 const serversPerNode = plannedServers / plannedNodes
 
-// smallFleet is the number of servers at which the figures of requests are
+// smallFleetServers is the number of servers at which the figures of requests are
 // measured.
-const smallFleet = 60
+const smallFleetServers = 60
 
 //go:embed planned.toml
 var plannedTOML []byte
@@ -63,13 +63,13 @@
 // changedEntry is the entry that the n-th change of a list changes, as it
 // becomes.
 func changedEntry(entries []model.Entry, n int) model.Entry {
-	e := entries[spread(n, len(entries))]
+	e := entries[scatteredIndex(n, len(entries))]
 	e.Weight = setup.ChangedWeight(n)
 	return e
 }
 
-// spread scatters consecutive numbers over the indexes of n elements.
-func spread(i, n int) int {
+// scatteredIndex scatters consecutive numbers over the indexes of n elements.
+func scatteredIndex(i, n int) int {
 	const prime = 7919
 	return i * prime % n
 }
--- a/internal/lab/scaling/reload.go
+++ b/internal/lab/scaling/reload.go
@@ -22,7 +22,7 @@
 	}
 	daily := Figure{
 		Name: "SIGHUP for each change of configuration: list traffic", Unit: "bytes/s", Over: "servers", Planned: plannedServers,
-		Budget: budgetBytes, Mechanism: mechanismReloadFetch, Note: fmt.Sprintf("%d changes a day, spread evenly", plannedConfigChanges),
+		Budget: budgetListRate, Mechanism: mechanismReloadFetch, Note: fmt.Sprintf("%d changes a day, spread evenly", plannedConfigChanges),
 	}
 	for _, servers := range e.servers() {
 		use, err := e.measureReloads(ctx, servers)
@@ -63,7 +63,7 @@
 	}
 	defer n.close()
 	interval := max(e.measure()/20, 50*time.Millisecond)
-	if err := sleep(ctx, e.rest()); err != nil {
+	if err := sleep(ctx, e.settleTime()); err != nil {
 		return reloadUse{}, err
 	}
 	start, err := n.totals()
--- a/internal/lab/scaling/scaling.go
+++ b/internal/lab/scaling/scaling.go
@@ -16,26 +16,26 @@
 
 // Env is what measurements need. The zero value of each time means its default.
 type Env struct {
-	Node    string        // path of the node's program
-	Dir     string        // for configurations
-	Rest    time.Duration // from a node's start to its measurement; default 2 s
-	Measure time.Duration // for which a node is measured; default 10 s
-	Bench   time.Duration // of each benchmark; default 500 ms
-	Log     func(format string, args ...any)
+	Node       string        // path of the node's program
+	Dir        string        // for configurations
+	SettleTime time.Duration // from a node's start to its measurement; default 2 s
+	Measure    time.Duration // for which a node is measured; default 10 s
+	Bench      time.Duration // of each benchmark; default 500 ms
+	Log        func(format string, args ...any)
 
 	small      bool // sizes for tests
 	violations []string
 }
 
 const (
-	defaultRest    = 2 * time.Second
-	defaultMeasure = 10 * time.Second
-	defaultBench   = 500 * time.Millisecond
+	defaultSettleTime = 2 * time.Second
+	defaultMeasure    = 10 * time.Second
+	defaultBench      = 500 * time.Millisecond
 )
 
-func (e *Env) rest() time.Duration    { return orDefault(e.Rest, defaultRest) }
-func (e *Env) measure() time.Duration { return orDefault(e.Measure, defaultMeasure) }
-func (e *Env) bench() time.Duration   { return orDefault(e.Bench, defaultBench) }
+func (e *Env) settleTime() time.Duration { return orDefault(e.SettleTime, defaultSettleTime) }
+func (e *Env) measure() time.Duration    { return orDefault(e.Measure, defaultMeasure) }
+func (e *Env) bench() time.Duration      { return orDefault(e.Bench, defaultBench) }
 
 func orDefault(d, value time.Duration) time.Duration {
 	if d > 0 {
--- a/internal/lab/scaling/scaling_test.go
+++ b/internal/lab/scaling/scaling_test.go
@@ -62,7 +62,7 @@
 		count += len(names)
 		t.Run(names[0], func(t *testing.T) {
 			t.Parallel()
-			e := &Env{Node: program, Dir: t.TempDir(), Rest: 50 * time.Millisecond, Measure: 150 * time.Millisecond,
+			e := &Env{Node: program, Dir: t.TempDir(), SettleTime: 50 * time.Millisecond, Measure: 150 * time.Millisecond,
 				Bench: time.Millisecond, small: true, Log: t.Logf}
 			r, err := Run(t.Context(), e, names...)
 			if err != nil {
@@ -102,8 +102,8 @@
 	if err := r.Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	var back Report
-	if err := json.Unmarshal(text.Bytes(), &back); err != nil || len(back.Figures) != len(r.Figures) {
+	var decoded Report
+	if err := json.Unmarshal(text.Bytes(), &decoded); err != nil || len(decoded.Figures) != len(r.Figures) {
 		t.Errorf("%v", err)
 	}
 	if err := r.Table(&table); err != nil || strings.Count(table.String(), "\n") != len(r.Figures)+len(r.Violations)+3 {
@@ -169,7 +169,7 @@
 	for _, f := range r.Figures {
 		measured[strings.TrimPrefix(f.Command, "bankshift-lab slopes ")] = true
 		stored := f
-		if err := f.fit(); err != nil || !near(f.Slope, stored.Slope) || !near(f.Intercept, stored.Intercept) || !near(f.AtPlanned, stored.AtPlanned) {
+		if err := f.fit(); err != nil || !nearlyEqual(f.Slope, stored.Slope) || !nearlyEqual(f.Intercept, stored.Intercept) || !nearlyEqual(f.AtPlanned, stored.AtPlanned) {
 			t.Errorf("%s: fits %v and %v, stored %v and %v, error %v", f.Name, f.Slope, f.Intercept, stored.Slope, stored.Intercept, err)
 		}
 	}
@@ -180,4 +180,4 @@
 	}
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) <= 1e-9*math.Abs(b) }
+func nearlyEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-9*math.Abs(b) }
