--- a/cmd/bankshift-lab/main.go
+++ b/cmd/bankshift-lab/main.go
@@ -24,7 +24,7 @@
 const (
 	exitOK        = 0
 	exitViolation = 1
-	exitUsage     = 2
+	exitError     = 2
 )
 
 // errViolation means that a rule did not hold. It has been printed.
@@ -106,7 +106,7 @@
 // fail prints an error and returns the exit code for it.
 func (o output) fail(err error) int {
 	fmt.Fprintln(o.stderr, "bankshift-lab:", err)
-	return exitUsage
+	return exitError
 }
 
 // writeResult writes a result: its JSON to a file and the table to standard
--- a/cmd/bankshift-lab/main_test.go
+++ b/cmd/bankshift-lab/main_test.go
@@ -56,14 +56,14 @@
 		{[]string{"run", good}, exitOK, "served"},
 		{[]string{"run", good, "--hollow", "--seed", "9"}, exitOK, "seed 9"},
 		{[]string{"run", bad}, exitViolation, "BROKEN"},
-		{[]string{"run", scenarioFile(t, "length = 7\n")}, exitUsage, "length"},
-		{[]string{"run", good, "--hollow", "--real"}, exitUsage, "--real"},
-		{[]string{"run", "no-such-file.toml"}, exitUsage, "no-such-file"},
-		{[]string{"run", large, "--real"}, exitUsage, "too large"},
-		{[]string{"agree", large}, exitUsage, "too large"},
-		{[]string{"slopes", "nonsense", "--node", good}, exitUsage, "nonsense"},
-		{[]string{}, exitUsage, "run"},
-		{[]string{"nonsense"}, exitUsage, "nonsense"},
+		{[]string{"run", scenarioFile(t, "length = 7\n")}, exitError, "length"},
+		{[]string{"run", good, "--hollow", "--real"}, exitError, "--real"},
+		{[]string{"run", "no-such-file.toml"}, exitError, "no-such-file"},
+		{[]string{"run", large, "--real"}, exitError, "too large"},
+		{[]string{"agree", large}, exitError, "too large"},
+		{[]string{"slopes", "nonsense", "--node", good}, exitError, "nonsense"},
+		{[]string{}, exitError, "run"},
+		{[]string{"nonsense"}, exitError, "nonsense"},
 		{[]string{"--help"}, exitOK, "bankshift-lab agree scenarios/"},
 		{[]string{"slopes", "--help"}, exitOK, strings.Join(scaling.Names()[:2], ", ")},
 	} {
@@ -97,7 +97,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	var o, e bytes.Buffer
-	if code := run(ctx, []string{"run", scenarioFile(t, smallScenario)}, output{&o, &e}); code != exitUsage || !strings.Contains(e.String(), "canceled") {
+	if code := run(ctx, []string{"run", scenarioFile(t, smallScenario)}, output{&o, &e}); code != exitError || !strings.Contains(e.String(), "canceled") {
 		t.Errorf("exit code %d: %s", code, e.String())
 	}
 }
--- a/internal/lab/scaling/decisions.go
+++ b/internal/lab/scaling/decisions.go
@@ -106,7 +106,7 @@
 	b.changes++
 	b.balancer.Handle(b.now, balancer.EndpointUpdate{
 		Kind:      balancer.IncrementalUpdate,
-		Version:   b.nextVersion(),
+		Version:   b.listVersion(),
 		Endpoints: []balancer.Endpoint{endpoint},
 	})
 }
@@ -115,7 +115,7 @@
 func (b *benchBalancer) encodeChange() []byte {
 	b.changes++
 	raw, err := json.Marshal(map[string]any{
-		"index":     b.nextVersion(),
+		"index":     b.listVersion(),
 		"snapshot":  false,
 		"endpoints": []model.Entry{changedEntry(b.entries, b.changes)},
 	})
@@ -125,8 +125,8 @@
 	return raw
 }
 
-// nextVersion is the version of the list after the changes so far.
-func (b *benchBalancer) nextVersion() uint64 { return 1 + uint64(b.changes) }
+// listVersion is the version of the list after the changes so far.
+func (b *benchBalancer) listVersion() uint64 { return 1 + uint64(b.changes) }
 
 // decisions measures the balancer alone, and what a list change takes before
 // it.
