--- a/internal/lab/scaling/added.go
+++ b/internal/lab/scaling/added.go
@@ -8,12 +8,12 @@
 	"bankshift/internal/lab/scenario"
 )
 
-// addedRates are requests a second: a third of the plan, the plan, twice and
-// three times that.
+// addedRates are the measured rates, in requests/s: a third of the planned rate,
+// the planned rate, and two and three times the planned rate.
 var addedRates = []float64{60, plannedRate, 2 * plannedRate, 3 * plannedRate}
 
-// addedLatency measures what a node adds to requests, and its processor time
-// under traffic.
+// addedLatency measures the latency that a node adds to requests, and the
+// processor time of the node under traffic.
 func addedLatency(ctx context.Context, e *Env) ([]Figure, error) {
 	figure := func(name, unit, mechanism string, budget float64) Figure {
 		return Figure{
@@ -42,9 +42,10 @@
 	return []Figure{p50, p99, p999, cpu}, nil
 }
 
-// runTraffic plays requests at a rate to one real node.
+// runTraffic sends requests to one real node at a rate in requests/s, and
+// returns the result of the run.
 func (e *Env) runTraffic(ctx context.Context, rate float64) (*result.Run, error) {
-	const connections = 400 // more than requests wait at the highest rate
+	const connections = 400 // more than the requests in flight at the highest rate
 	s := plannedScenario(1, smallFleetServers)
 	s.Traffic.Rate = rate
 	s.Traffic.Connections = connections
--- a/internal/lab/scaling/bench.go
+++ b/internal/lab/scaling/bench.go
@@ -7,10 +7,11 @@
 	"testing"
 )
 
-// benchmark measures the mean time of do, in seconds. Its argument counts the
-// calls. An error of do is returned after the benchmark.
+// benchmark returns the mean duration of a call of do, in seconds. The argument
+// of do counts the calls from 0 in each round of the benchmark. An error of do
+// does not stop the benchmark; the last one is returned after it.
 func (e *Env) benchmark(ctx context.Context, do func(i int) error) (float64, error) {
-	testing.Init() // the duration of a benchmark is a flag of package testing
+	testing.Init() // registers the flag test.benchtime, the duration of a benchmark
 	benchtime := flag.Lookup("test.benchtime").Value
 	before := benchtime.String()
 	if err := benchtime.Set(e.bench().String()); err != nil {
@@ -26,7 +27,7 @@
 		}
 	})
 	if r.N == 0 {
-		return 0, errors.New("a benchmark failed")
+		return 0, errors.New("testing.Benchmark ran no iterations")
 	}
 	if failed != nil {
 		return 0, failed
--- a/internal/lab/scaling/config.go
+++ b/internal/lab/scaling/config.go
@@ -7,7 +7,8 @@
 	"bankshift/internal/node"
 )
 
-// configuration measures a configuration's size and the time to read it.
+// configuration measures the size of a node's configuration and the time to
+// parse it, by servers and by tenants.
 func configuration(ctx context.Context, e *Env) ([]Figure, error) {
 	byServers, err := e.configFigures(ctx, "servers", plannedServers, e.servers(), func(n int) ([]byte, error) { return configOf(n, 0) })
 	if err != nil {
--- a/internal/lab/scaling/decisions.go
+++ b/internal/lab/scaling/decisions.go
@@ -17,11 +17,12 @@
 	arrivalInterval = time.Second / plannedRate
 	tickInterval    = 25 * time.Millisecond
 	serviceTime     = 5 * time.Millisecond
-	warmupRequests  = 2000 // after which the balancer knows latencies and rates
+	warmupRequests  = 2000 // after these the balancer has estimates of latencies and rates
 	requestsPerTick = 5
 )
 
-// benchBalancer is a balancer with its list and some traffic behind it.
+// benchBalancer is a balancer for benchmarks. It has applied an endpoint list and
+// handled warmupRequests requests.
 type benchBalancer struct {
 	balancer  *balancer.Balancer
 	now       balancer.Time
@@ -29,8 +30,8 @@
 	entries   []model.Entry
 	classes   []balancer.Class
 	directory discovery.Directory
-	changes   int // of the list so far
-	requests  int // so far
+	changes   int // list changes made so far
+	requests  int // requests handled so far
 }
 
 func newBenchBalancer(servers int) (*benchBalancer, error) {
@@ -63,7 +64,7 @@
 	return b, nil
 }
 
-// decode reads a list into the directory.
+// decode parses a list in discovery's format and applies it to the directory.
 func (b *benchBalancer) decode(raw []byte) (balancer.EndpointUpdate, error) {
 	var list discovery.List
 	if err := json.Unmarshal(raw, &list); err != nil {
@@ -78,7 +79,8 @@
 	b.balancer.Handle(b.now, balancer.TimerFired{})
 }
 
-// request plays a request that is served.
+// request passes the balancer a request, and a successful result for each attempt
+// that the balancer sends.
 func (b *benchBalancer) request() {
 	b.requests++
 	b.now += arrivalInterval
@@ -99,7 +101,8 @@
 	}
 }
 
-// applyChange gives the balancer the i-th list change of one endpoint.
+// applyChange passes the balancer a list change that sets the weight of one
+// endpoint. i selects the endpoint and the weight.
 func (b *benchBalancer) applyChange(i int) {
 	endpoint := b.endpoints[scatteredIndex(i, len(b.endpoints))]
 	endpoint.Weight = setup.ChangedWeight(i)
@@ -111,7 +114,7 @@
 	})
 }
 
-// encodeChange is the next list change of one entry, as discovery writes it.
+// encodeChange returns the next list change, of one entry, in discovery's format.
 func (b *benchBalancer) encodeChange() []byte {
 	b.changes++
 	raw, err := json.Marshal(map[string]any{
@@ -125,11 +128,12 @@
 	return raw
 }
 
-// listVersion is the version of the list after the changes so far.
+// listVersion returns the version of the list that includes all changes so far.
 func (b *benchBalancer) listVersion() uint64 { return 1 + uint64(b.changes) }
 
-// decisions measures the balancer alone, and what a list change takes before
-// it.
+// decisions measures the time that the balancer takes for a tick, a list change
+// and a request, and the time to decode a list change and to apply it to the
+// directory, which precede the balancer's part.
 func decisions(ctx context.Context, e *Env) ([]Figure, error) {
 	figure := func(name, mechanism, note string) Figure {
 		return Figure{Name: name, Unit: "µs", Over: "servers", Planned: plannedServers, Mechanism: mechanism, Note: note}
@@ -168,7 +172,8 @@
 	return []Figure{tick, change, request, decode}, nil
 }
 
-// decodeChanges returns a function that decodes one of some encoded changes.
+// decodeChanges encodes 64 list changes and returns a function that decodes one
+// of them, selected by i.
 func (b *benchBalancer) decodeChanges() func(i int) error {
 	changes := make([][]byte, 64)
 	for i := range changes {
--- a/internal/lab/scaling/figure.go
+++ b/internal/lab/scaling/figure.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measurement.
+// Point is the value Y of a figure measured at the size X.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
@@ -18,41 +18,42 @@
 type Figure struct {
 	Name      string  `json:"name"`
 	Unit      string  `json:"unit"`
-	Over      string  `json:"over"`      // what X is
-	Planned   float64 `json:"planned"`   // of X
-	Budget    float64 `json:"budget"`    // of Y at the planned size; 0: none is stated
-	Mechanism string  `json:"mechanism"` // files and functions that it depends on
+	Over      string  `json:"over"`      // quantity that X counts, such as servers
+	Planned   float64 `json:"planned"`   // planned value of X
+	Budget    float64 `json:"budget"`    // upper limit of Y at the planned size; 0: none
+	Mechanism string  `json:"mechanism"` // source files and functions that Y depends on
 	Note      string  `json:"note,omitempty"`
-	Command   string  `json:"command"` // that measures it again
+	Command   string  `json:"command"` // command line that repeats the measurement
 	Points    []Point `json:"points"`
 
-	// The line through the points, and its value at the planned size.
+	// The least-squares line through Points, and its value at Planned.
 	Slope     float64 `json:"slope"`
 	Intercept float64 `json:"intercept"`
 	R2        float64 `json:"r2"` // coefficient of determination; 1 if all Y are equal
 	AtPlanned float64 `json:"at_planned"`
 }
 
-// minPoints is the number of different sizes that a line needs.
+// minPoints is the number of different sizes that are required to fit a line.
 const minPoints = 3
 
 // add appends a point.
 func (f *Figure) add(x, y float64) { f.Points = append(f.Points, Point{x, y}) }
 
-// fit draws the line through the points by least squares.
+// fit computes the least-squares line through the points. It fails if a value is
+// not finite, or if there are fewer than minPoints different sizes.
 func (f *Figure) fit() error {
 	sizes := map[float64]bool{}
 	var xs, ys []float64
 	for _, p := range f.Points {
 		if math.IsNaN(p.Y) || math.IsInf(p.Y, 0) {
-			return fmt.Errorf("scaling: %s: no value at %v", f.Name, p.X)
+			return fmt.Errorf("scaling: %s: value at %v is %v, want a finite number", f.Name, p.X, p.Y)
 		}
 		sizes[p.X] = true
 		xs = append(xs, p.X)
 		ys = append(ys, p.Y)
 	}
 	if len(sizes) < minPoints {
-		return fmt.Errorf("scaling: %s: measured at %d sizes, want %d", f.Name, len(sizes), minPoints)
+		return fmt.Errorf("scaling: %s: measured at %d different sizes, want at least %d", f.Name, len(sizes), minPoints)
 	}
 	f.Intercept, f.Slope = stat.LinearRegression(xs, ys, nil, false)
 	f.R2 = 1
--- a/internal/lab/scaling/idle.go
+++ b/internal/lab/scaling/idle.go
@@ -9,29 +9,31 @@
 	"bankshift/internal/lab/emulator"
 )
 
-// idleCase is a node without requests.
+// idleCase describes a measurement of a node without requests. Its field names
+// are printed into stored violations.
 type idleCase struct {
 	servers  int
 	tenants  int
-	changes  float64 // of the list, a second
-	onDemand bool
+	changes  float64 // list changes/s
+	onDemand bool    // nodes request lists from one service, instead of having changes pushed
 }
 
-// idleUse is what an idle node takes.
+// idleUse is the measured resource use of an idle node.
 type idleUse struct {
 	cpuPercent     float64 // of a core
-	bytesPerSecond float64 // of list traffic, headers included
+	bytesPerSecond float64 // list traffic, sent and received, headers included
 	callsPerSecond float64 // to discovery
-	memoryMB       float64 // peak
-	readyMS        float64 // from start to ready
-	configMB       float64
+	memoryMB       float64 // peak resident size
+	readyMS        float64 // from the start of the process until it is ready
+	configMB       float64 // size of the configuration file
 }
 
-// maxOverrun is the factor by which a node may be measured longer than
-// intended. Where the lab is delayed more, so are nodes.
+// maxOverrun is the accepted ratio of the actual to the intended measuring time.
+// When the lab is delayed more than that, the nodes are delayed too.
 const maxOverrun = 1.05
 
-// measureIdle measures one idle node.
+// measureIdle starts a node, waits for the settle time, and measures the node
+// while its list changes as c says.
 func (e *Env) measureIdle(ctx context.Context, c idleCase) (idleUse, error) {
 	n, err := e.startNode(ctx, c, 1)
 	if err != nil {
@@ -82,7 +84,8 @@
 	u.callsPerSecond = float64(after.Calls-before.Calls) / seconds
 }
 
-// changeList changes the list at a rate, for the time of the measurement.
+// changeList publishes list changes at a constant rate, for the measuring time
+// from began on.
 func (e *Env) changeList(ctx context.Context, n *runningNode, perSecond float64, began time.Time) error {
 	for i := 1; perSecond > 0 && float64(i) <= perSecond*e.measure().Seconds(); i++ {
 		at := began.Add(time.Duration((float64(i) - 0.5) / perSecond * float64(time.Second)))
@@ -96,7 +99,8 @@
 	return nil
 }
 
-// idleSeries is idle nodes over one quantity.
+// idleSeries is a series of idle nodes that differ in one quantity, whose value
+// is xs[i] for cases[i].
 type idleSeries struct {
 	name    string
 	over    string
@@ -110,8 +114,8 @@
 	s.cases = append(s.cases, c)
 }
 
-// measureSeries measures idle nodes one after the other, as they share caches
-// and the memory's bandwidth.
+// measureSeries measures the nodes of a series one after the other, because
+// concurrent nodes would share caches and memory bandwidth.
 func (e *Env) measureSeries(ctx context.Context, s idleSeries) ([]Figure, error) {
 	figure := func(name, unit, mechanism string, budget float64) Figure {
 		return Figure{Name: s.name + ": " + name, Unit: unit, Over: s.over, Planned: s.planned, Budget: budget, Mechanism: mechanism}
@@ -164,11 +168,12 @@
 }
 
 func idleByChanges(ctx context.Context, e *Env) ([]Figure, error) {
-	// A release of all 4,500 servers within two hours: each is listed as
-	// draining, as removed, and as its successor.
+	// Planned list changes/s: a release of all 4,500 servers within two hours.
+	// Each server causes three changes: it is listed as draining, then as
+	// removed, and its successor is listed.
 	const plannedChanges = 2
 	series := idleSeries{name: fmt.Sprintf("idle, %d servers", e.maxServers()), over: "list changes/s", planned: plannedChanges}
-	for _, rate := range []float64{0, 1, 2, 5, 20} { // 20 makes the slope stand out of the noise
+	for _, rate := range []float64{0, 1, 2, 5, 20} { // 20 is above the plan; it makes the slope large against the noise
 		series.add(rate, idleCase{servers: e.maxServers(), changes: rate})
 	}
 	return e.measureSeries(ctx, series)
--- a/internal/lab/scaling/lists.go
+++ b/internal/lab/scaling/lists.go
@@ -10,7 +10,9 @@
 	"bankshift/internal/lab/scenario"
 )
 
-// wholeList measures a whole list, by servers.
+// wholeList measures the size of a whole list, its part of a node's traffic
+// budget and the time to apply it, by servers; and the traffic of one whole list
+// for every node, by nodes.
 func wholeList(ctx context.Context, e *Env) ([]Figure, error) {
 	figure := func(name, unit, mechanism, note string) Figure {
 		return Figure{Name: name, Unit: unit, Over: "servers", Planned: plannedServers, Mechanism: mechanism, Note: note}
@@ -18,7 +20,7 @@
 	size := figure("whole list: size", "KB", mechanismFetch, "")
 	budget := figure("whole list: seconds of a node's traffic budget", "s", mechanismFetch, "3 KB/s a node; a day has 86,400 s")
 	apply := figure("whole list: time to take up", "ms", mechanismDirectory+"; "+mechanismApply, "decoding, directory and decisions")
-	listBytes := 0 // of the largest
+	listBytes := 0 // size of the largest list measured so far
 	for _, n := range e.servers() {
 		b, err := newBenchBalancer(n)
 		if err != nil {
@@ -48,8 +50,9 @@
 	return []Figure{size, budget, apply, all}, nil
 }
 
-// registryBytes plays hollow fleets with hardly any requests, with list
-// changes.
+// registryBytes measures the list traffic of discovery, by nodes times list
+// changes a second. It runs hollow fleets with list changes and one request a
+// second.
 func registryBytes(ctx context.Context, e *Env) ([]Figure, error) {
 	const (
 		changesPerSecond = 2
--- a/internal/lab/scaling/mechanism.go
+++ b/internal/lab/scaling/mechanism.go
@@ -1,7 +1,8 @@
 package scaling
 
-// Mechanisms: the files and functions that a figure depends on, separated by
-// semicolons. A test checks that they exist.
+// Values of Figure.Mechanism: source files, each with the functions that the
+// figure depends on, separated by semicolons. A test checks that the functions
+// exist.
 const (
 	mechanismHandle      = "balancer/balancer.go Balancer.Handle"
 	mechanismTick        = "balancer/balancer.go Balancer.tick"
--- a/internal/lab/scaling/planned.go
+++ b/internal/lab/scaling/planned.go
@@ -8,49 +8,52 @@
 	"bankshift/internal/lab/setup"
 )
 
-// The operators' plan.
+// Size and load of the deployment that the operators plan.
 const (
 	plannedNodes         = 450
 	plannedServers       = 4500
 	plannedTenants       = 20000
-	plannedRate          = 180  // requests a second at a node: 81,000 over 450
-	plannedConfigChanges = 1000 // a day
+	plannedRate          = 180  // requests/s per node: 81,000 over 450 nodes
+	plannedConfigChanges = 1000 // per day
 )
 
-// What the plan grants a node.
+// Limits that the operators' plan sets for a node.
 const (
 	budgetCPU          = 3.1  // % of a core
 	budgetMemory       = 256  // MB
-	budgetListRate     = 3000 // of list traffic, a second
-	budgetAddedLatency = 4.6  // ms, for 99 in 100 requests
-	budgetPropagation  = 4000 // ms until a configuration is in force everywhere
+	budgetListRate     = 3000 // bytes/s of list traffic
+	budgetAddedLatency = 4.6  // ms, 99th percentile
+	budgetPropagation  = 4000 // ms until a configuration is in effect on all nodes
 )
 
-// serversPerNode is the plan's ratio, which all sizes keep.
+// serversPerNode is the planned ratio of servers to nodes. nodesFor keeps it at
+// all sizes.
 const serversPerNode = plannedServers / plannedNodes
 
-// smallFleetServers is the number of servers at which the figures of requests are
-// measured.
+// smallFleetServers is the number of servers in measurements that send requests.
 const smallFleetServers = 60
 
 //go:embed planned.toml
 var plannedTOML []byte
 
-// plannedScenario is a fleet as the operators plan it, of the given size.
+// plannedScenario returns the planned deployment, with the given numbers of nodes
+// and servers.
 func plannedScenario(nodes, servers int) *scenario.Scenario {
 	s, err := scenario.Parse("planned.toml", plannedTOML)
 	if err != nil {
-		panic(err) // the file is part of the program
+		panic(err) // planned.toml is embedded in the program
 	}
 	s.Fleet.Nodes = nodes
 	s.Servers.Count = servers
 	return s
 }
 
-// nodesFor is the number of nodes in front of a number of servers.
+// nodesFor returns the planned number of nodes for a number of servers, at least
+// one.
 func nodesFor(servers int) int { return max(1, servers/serversPerNode) }
 
-// entriesOf lists a scenario's servers, at addresses where nothing listens.
+// entriesOf returns discovery's entries for a scenario's servers, with addresses
+// where nothing listens.
 func entriesOf(s *scenario.Scenario) []model.Entry {
 	entries := make([]model.Entry, s.Servers.Count)
 	for i := range entries {
@@ -60,21 +63,22 @@
 	return entries
 }
 
-// changedEntry is the entry that the n-th change of a list changes, as it
-// becomes.
+// changedEntry returns the entry that the n-th list change modifies, with its new
+// weight.
 func changedEntry(entries []model.Entry, n int) model.Entry {
 	e := entries[scatteredIndex(n, len(entries))]
 	e.Weight = setup.ChangedWeight(n)
 	return e
 }
 
-// scatteredIndex scatters consecutive numbers over the indexes of n elements.
+// scatteredIndex maps consecutive values of i to scattered indexes of n elements.
 func scatteredIndex(i, n int) int {
 	const prime = 7919
 	return i * prime % n
 }
 
-// configOf is the configuration of a node in front of a number of servers.
+// configOf returns the configuration of a node for the given numbers of servers
+// and tenants.
 func configOf(servers, tenants int) ([]byte, error) {
 	s := plannedScenario(nodesFor(servers), servers)
 	s.Traffic.Tenants = tenants
