--- a/internal/lab/scaling/reload.go
+++ b/internal/lab/scaling/reload.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// reloadsPerSize is how many SIGHUPs are measured at each size.
+// reloadsPerSize is the number of SIGHUPs measured at each size.
 const reloadsPerSize = 6
 
-// reload measures a SIGHUP that moves discovery to another address.
+// reload measures the processor time and the list traffic that a node needs for a
+// SIGHUP which changes the address of discovery.
 func reload(ctx context.Context, e *Env) ([]Figure, error) {
 	cpu := Figure{
 		Name: "SIGHUP: processor", Unit: "ms", Over: "servers", Planned: plannedServers, Mechanism: mechanismReload,
@@ -37,13 +38,13 @@
 	return []Figure{cpu, traffic, daily}, nil
 }
 
-// reloadUse is what one reload takes.
+// reloadUse is the mean resource use of one reload.
 type reloadUse struct {
 	cpuMS  float64
 	listKB float64
 }
 
-// reloadTotals are a node's totals at one time.
+// reloadTotals are a node's total processor time and list traffic since its start.
 type reloadTotals struct {
 	cpu       time.Duration
 	listBytes int64
@@ -54,8 +55,8 @@
 	return reloadTotals{cpu: usage.CPU, listBytes: n.listBytes()}, err
 }
 
-// measureReloads moves discovery between two addresses. What the idle node
-// takes in the same time is subtracted.
+// measureReloads moves discovery between two addresses and returns the mean use
+// of one move. The use of the idle node over an equal time is subtracted.
 func (e *Env) measureReloads(ctx context.Context, servers int) (reloadUse, error) {
 	n, err := e.startNode(ctx, idleCase{servers: servers}, 2)
 	if err != nil {
@@ -97,8 +98,8 @@
 	}, nil
 }
 
-// moveDiscovery changes the address of discovery in the configuration, and
-// makes the node read it.
+// moveDiscovery writes a configuration with another address of discovery, and
+// sends the node SIGHUP to make it read the file.
 func (n *runningNode) moveDiscovery(address string) error {
 	config, err := n.config(address)
 	if err != nil {
--- a/internal/lab/scaling/report.go
+++ b/internal/lab/scaling/report.go
@@ -14,11 +14,11 @@
 
 // Report is the result of a run of measurements.
 type Report struct {
-	Started    string         `json:"started"` // time of day, RFC 3339
-	Seconds    float64        `json:"seconds"`
+	Started    string         `json:"started"` // date and time in UTC, RFC 3339
+	Seconds    float64        `json:"seconds"` // duration of the run
 	Version    string         `json:"version"`
 	Machine    result.Machine `json:"machine"`
-	Threads    int            `json:"node_gomaxprocs"` // of the real nodes
+	Threads    int            `json:"node_gomaxprocs"` // GOMAXPROCS of the real nodes
 	Figures    []Figure       `json:"figures"`
 	Violations []string       `json:"broken"` // measurements that cannot be trusted, and why
 }
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// Table writes the report for people to read.
+// Table writes the report as a plain-text table.
 func (r *Report) Table(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "quantity\tunit\tover\tpoints\tslope\tintercept\tr²\tplanned\tthere\tbudget\tpart\tmechanism")
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// row is the figure's line of the table, with tabs between the cells.
+// row returns the figure's row of the table, with tabs between the cells.
 func (f *Figure) row() string {
 	var points []string
 	for _, p := range f.Points {
@@ -73,7 +73,8 @@
 	}, "\t")
 }
 
-// formatNumber writes three digits, or all digits of a whole number.
+// formatNumber formats whole numbers, and all numbers from 100 on, without
+// decimals, and others with three significant digits.
 func formatNumber(v float64) string {
 	const maxWhole = 1e6
 	if math.Abs(v) >= 100 || v == math.Trunc(v) && math.Abs(v) < maxWhole {
--- a/internal/lab/scaling/runningnode.go
+++ b/internal/lab/scaling/runningnode.go
@@ -13,21 +13,22 @@
 	"bankshift/internal/lab/scenario"
 )
 
-// nodeThreads is GOMAXPROCS of the real nodes: on the platform a node sees the
-// one core that it is given.
+// nodeThreads is GOMAXPROCS of the real nodes. On the platform, a node is given one
+// core and sees no others.
 const nodeThreads = 1
 
-// nodesStarted numbers the names of the nodes.
+// nodesStarted counts the nodes started in this process, to give each a unique
+// name.
 var nodesStarted atomic.Int32
 
-// runningNode is a node's process with its discovery, without servers or
-// clients. The owner calls close.
+// runningNode is a node's process with its registries, the emulated discovery. It
+// has no servers and no clients. Callers of startNode must call close.
 type runningNode struct {
 	*fleet.Process
 	registries []*emulator.Registry
-	entries    []model.Entry // as published at first
+	entries    []model.Entry // as first published
 	configPath string
-	config     func(discovery string) ([]byte, error) // with discovery at an address
+	config     func(discovery string) ([]byte, error) // returns the configuration for an address of discovery
 }
 
 func (n *runningNode) close() {
@@ -39,7 +40,8 @@
 	}
 }
 
-// listBytes is what all registries have sent and received.
+// listBytes returns the number of bytes that all registries have sent and
+// received.
 func (n *runningNode) listBytes() int64 {
 	sum := int64(0)
 	for _, r := range n.registries {
@@ -49,8 +51,9 @@
 	return sum
 }
 
-// startNode starts a node of a fleet, with a number of registries of the same
-// content, and waits until it is ready.
+// startNode starts a node of the planned deployment, for the numbers of servers
+// and tenants in c, and waits until it is ready. All registries publish the same
+// list; the node uses the first.
 func (e *Env) startNode(ctx context.Context, c idleCase, registries int) (_ *runningNode, err error) {
 	s := plannedScenario(nodesFor(c.servers), c.servers)
 	s.Traffic.Tenants = c.tenants
@@ -83,7 +86,8 @@
 	return registry.Change(n.entries...)
 }
 
-// startProcess starts the node's process with its first registry.
+// startProcess starts the node's process, configured for its first registry, and
+// waits until it is ready.
 func (e *Env) startProcess(ctx context.Context, n *runningNode, s *scenario.Scenario) error {
 	addresses, err := fleet.FreeAddresses(1)
 	if err != nil {
--- a/internal/lab/scaling/scaling.go
+++ b/internal/lab/scaling/scaling.go
@@ -1,7 +1,8 @@
-// Package scaling measures what the planned size costs: each figure at three
-// sizes or more, with a line through them by least squares and the line's value
-// at the planned size, beside its budget. The figures of docs/CAPACITY.md come
-// from it.
+// Package scaling measures the resource use and the latency of nodes, and the
+// traffic of discovery, as functions of the deployment's size. It measures each
+// figure at three sizes or more, fits a least-squares line, and compares the
+// line's value at the planned size with the budget. The figures in
+// docs/CAPACITY.md come from this package.
 package scaling
 
 import (
@@ -14,16 +15,17 @@
 	"bankshift/internal/lab/result"
 )
 
-// Env is what measurements need. The zero value of each time means its default.
+// Env configures a run of measurements and collects its violations. A duration of
+// 0 means its default.
 type Env struct {
-	Node       string        // path of the node's program
-	Dir        string        // for configurations
-	SettleTime time.Duration // from a node's start to its measurement; default 2 s
-	Measure    time.Duration // for which a node is measured; default 10 s
-	Bench      time.Duration // of each benchmark; default 500 ms
+	Node       string        // path of the node's executable
+	Dir        string        // directory for the nodes' configuration files
+	SettleTime time.Duration // from a node's being ready to its measurement; default 2 s
+	Measure    time.Duration // duration of each measurement of a node; default 10 s
+	Bench      time.Duration // duration of each benchmark; default 500 ms
 	Log        func(format string, args ...any)
 
-	small      bool // sizes for tests
+	small      bool // measure at small sizes, for tests
 	violations []string
 }
 
@@ -44,15 +46,17 @@
 	return value
 }
 
-// servers are the sizes at which figures over servers are measured.
+// servers returns the numbers of servers at which figures over servers are
+// measured.
 func (e *Env) servers() []int {
 	return e.sizes([]int{60, 450, 1500, plannedServers}, []int{20, 40, 60})
 }
 
-// maxServers is the largest of servers.
+// maxServers returns the largest number of servers that is measured.
 func (e *Env) maxServers() int { return slices.Max(e.servers()) }
 
-// tenants are the sizes at which figures over tenants are measured.
+// tenants returns the numbers of tenants at which figures over tenants are
+// measured.
 func (e *Env) tenants() []int { return e.sizes([]int{0, 5000, plannedTenants}, []int{0, 10, 20}) }
 
 func (e *Env) sizes(full, small []int) []int {
@@ -74,27 +78,28 @@
 	}
 }
 
-// Measurement is one that can be requested by name.
+// Measurement is a group of figures that are measured together and selected by
+// name.
 type Measurement struct {
 	Name  string
 	About string
 	run   func(ctx context.Context, e *Env) ([]Figure, error)
 }
 
-// All measurements, in the order of the page.
+// All lists the measurements, in the order of docs/CAPACITY.md.
 var All = []Measurement{
-	{"idle", "an idle node by servers, lists pushed and asked for", idleByServers},
-	{"tenants", "an idle node before 4,500 servers by tenants", idleByTenants},
-	{"changes", "an idle node before 4,500 servers by list changes a second", idleByChanges},
-	{"config", "size of a configuration and time to read it, by servers and by tenants", configuration},
-	{"sighup", "a node's work and list traffic for one SIGHUP that moves discovery, by servers", reload},
-	{"decide", "the decisions alone, by servers: tick, list change, request; and a list change before them", decisions},
-	{"list", "a whole list by servers, and what it takes of the traffic budget of all nodes", wholeList},
-	{"added", "what one real node adds to a request, by requests a second", addedLatency},
-	{"registry", "what discovery sends, by nodes times list changes a second", registryBytes},
+	{"idle", "an idle node by servers, with lists pushed and requested on demand", idleByServers},
+	{"tenants", "an idle node in front of 4,500 servers by tenants", idleByTenants},
+	{"changes", "an idle node in front of 4,500 servers by list changes a second", idleByChanges},
+	{"config", "size of a configuration and time to parse it, by servers and by tenants", configuration},
+	{"sighup", "a node's processor time and list traffic for one SIGHUP that moves discovery, by servers", reload},
+	{"decide", "time of the balancer for a tick, a list change and a request, and of discovery for a list change, by servers", decisions},
+	{"list", "size of a whole list, its part of a node's traffic budget and the time to apply it, by servers; its bytes for all nodes", wholeList},
+	{"added", "latency that one real node adds to a request, and its processor time, by requests a second", addedLatency},
+	{"registry", "bytes that discovery sends and receives, by nodes times list changes a second", registryBytes},
 }
 
-// Names of all measurements.
+// Names returns the names of all measurements.
 func Names() []string {
 	var names []string
 	for _, m := range All {
@@ -103,7 +108,7 @@
 	return names
 }
 
-// Run makes the measurements of the given names, or all.
+// Run makes the measurements with the given names, or all if no name is given.
 func Run(ctx context.Context, e *Env, names ...string) (*Report, error) {
 	for _, n := range names {
 		if !slices.Contains(Names(), n) {
@@ -135,7 +140,7 @@
 	return r, nil
 }
 
-// figures makes the measurement and fits its lines.
+// figures makes the measurement and fits a line to each of its figures.
 func (m Measurement) figures(ctx context.Context, e *Env) ([]Figure, error) {
 	figures, err := m.run(ctx, e)
 	if err != nil {
--- a/internal/lab/scaling/scaling_test.go
+++ b/internal/lab/scaling/scaling_test.go
@@ -16,7 +16,7 @@
 	"bankshift/internal/lab/fleet"
 )
 
-// program is the path of the node's program, built once.
+// program is the path of the node's executable, which TestMain builds.
 var program string
 
 func TestMain(m *testing.M) {
@@ -38,23 +38,24 @@
 	f := Figure{Name: "f", Planned: 10, Budget: 30, Points: []Point{{1, 5}, {2, 8}, {4, 14}}}
 	if err := f.fit(); err != nil || math.Abs(f.Slope-3) > 1e-9 || math.Abs(f.Intercept-2) > 1e-9 || math.Abs(f.R2-1) > 1e-9 ||
 		math.Abs(f.AtPlanned-32) > 1e-9 || !f.OverBudget() {
-		t.Errorf("%+v, %v", f, err)
+		t.Errorf("%+v, error %v; want slope 3, intercept 2, r2 1, 32 at the planned size, over budget", f, err)
 	}
 	f = Figure{Name: "flat", Planned: 10, Points: []Point{{1, 5}, {2, 5}, {4, 5}}}
 	if err := f.fit(); err != nil || f.Slope != 0 || f.R2 != 1 || f.OverBudget() {
-		t.Errorf("%+v, %v", f, err)
+		t.Errorf("%+v, error %v; want slope 0, r2 1, not over budget", f, err)
 	}
 	for _, points := range [][]Point{{{1, 5}, {2, 5}}, {{1, 5}, {1, 6}, {2, 5}}, {{1, 5}, {2, math.NaN()}, {3, 5}}} {
 		f := Figure{Name: "short", Points: points}
 		if err := f.fit(); err == nil || !strings.Contains(err.Error(), "short") {
-			t.Errorf("%v: %v", points, err)
+			t.Errorf("points %v: error %v, want one that names the figure", points, err)
 		}
 	}
 }
 
-// TestAllAtSmallSizes makes every measurement once, too short for its figures to
-// mean anything. Benchmarks share package testing's flags, so they are in one
-// group.
+// TestAllAtSmallSizes guards against measurements that fail or that report
+// incomplete figures. It makes each one once, too briefly for meaningful values.
+// The groups run in parallel; measurements with benchmarks are in one group,
+// because benchmarks share the flags of package testing.
 func TestAllAtSmallSizes(t *testing.T) {
 	groups := [][]string{{"idle"}, {"tenants", "changes"}, {"sighup"}, {"config", "decide", "list", "registry"}, {"added"}}
 	count := 0
@@ -72,7 +73,7 @@
 		})
 	}
 	if count != len(All) {
-		t.Errorf("%d of %d measurements are tested", count, len(All))
+		t.Errorf("%d of %d measurements are in a group, want all", count, len(All))
 	}
 }
 
@@ -82,20 +83,20 @@
 	for _, f := range r.Figures {
 		seen[strings.TrimPrefix(f.Command, "bankshift-lab slopes ")] = true
 		if f.Unit == "" || f.Over == "" || f.Planned <= 0 || f.Mechanism == "" || len(f.Points) < minPoints {
-			t.Errorf("%+v lacks something", f)
+			t.Errorf("figure %+v: want a unit, an over, a planned size, a mechanism and at least minPoints points", f)
 		}
 		checkMechanism(t, f.Mechanism)
 		if strings.Contains(f.Name, "ready") || strings.Contains(f.Name, "size") || strings.Contains(f.Name, "decide") || strings.Contains(f.Name, "memory") {
 			for _, p := range f.Points {
 				if p.Y <= 0 {
-					t.Errorf("%s: %+v", f.Name, p)
+					t.Errorf("%s: point %+v, want a positive Y", f.Name, p)
 				}
 			}
 		}
 	}
 	for _, n := range names {
 		if !seen[n] {
-			t.Errorf("%s has no figure", n)
+			t.Errorf("measurement %s has no figure", n)
 		}
 	}
 	var text, table bytes.Buffer
@@ -104,30 +105,31 @@
 	}
 	var decoded Report
 	if err := json.Unmarshal(text.Bytes(), &decoded); err != nil || len(decoded.Figures) != len(r.Figures) {
-		t.Errorf("%v", err)
+		t.Errorf("report written and decoded: error %v, or figures are missing", err)
 	}
 	if err := r.Table(&table); err != nil || strings.Count(table.String(), "\n") != len(r.Figures)+len(r.Violations)+3 {
-		t.Errorf("%v\n%s", err, table.String())
+		t.Errorf("error %v; want a line per figure and violation and three more in table\n%s", err, table.String())
 	}
 }
 
-// TestViolationsAreReported checks the table.
+// TestViolationsAreReported guards against a table that omits violations.
 func TestViolationsAreReported(t *testing.T) {
 	e := &Env{}
 	e.violation("held up for %d s", 7)
 	var b bytes.Buffer
 	if err := (&Report{Violations: e.violations}).Table(&b); err != nil || !strings.Contains(b.String(), "held up for 7 s") {
-		t.Errorf("%v\n%s", err, b.String())
+		t.Errorf("error %v; want the violation in table\n%s", err, b.String())
 	}
 }
 
 func TestUnknownMeasurement(t *testing.T) {
 	if _, err := Run(t.Context(), &Env{}, "idle", "nonsense"); err == nil || !strings.Contains(err.Error(), "nonsense") {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want one that names the unknown measurement", err)
 	}
 }
 
-// checkMechanism checks that the files of a mechanism declare its functions.
+// checkMechanism checks that the files named in a mechanism declare the functions
+// named after them.
 func checkMechanism(t *testing.T, mechanism string) {
 	t.Helper()
 	for reference := range strings.SplitSeq(mechanism, "; ") {
@@ -150,7 +152,9 @@
 	}
 }
 
-// TestStoredReport decodes the report that is stored with the documentation.
+// TestStoredReport guards against a stored report, docs/capacity/slopes.json, that
+// the Report type no longer matches, that lacks a measurement, or whose lines do
+// not fit its points.
 func TestStoredReport(t *testing.T) {
 	raw, err := os.ReadFile("../../../docs/capacity/slopes.json")
 	if err != nil {
@@ -163,7 +167,7 @@
 		t.Fatal(err)
 	}
 	if r.Version == "" || len(r.Figures) == 0 {
-		t.Errorf("version %q, %d figures", r.Version, len(r.Figures))
+		t.Errorf("version %q, %d figures, want a version and figures", r.Version, len(r.Figures))
 	}
 	measured := map[string]bool{}
 	for _, f := range r.Figures {
