--- a/internal/lab/result/bounds.go
+++ b/internal/lab/result/bounds.go
@@ -6,7 +6,8 @@
 	"bankshift/internal/lab/scenario"
 )
 
-// CheckBounds adds to Violations the scenario's bounds that the run exceeds.
+// CheckBounds adds a violation for each of the scenario's bounds that the run does
+// not meet.
 func (r *Run) CheckBounds(b scenario.Bounds) {
 	violation := func(format string, args ...any) {
 		r.Violations = append(r.Violations, "holds: "+fmt.Sprintf(format, args...))
--- a/internal/lab/result/histogram.go
+++ b/internal/lab/result/histogram.go
@@ -6,11 +6,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxRecorded is the longest time that a Histogram tells apart.
+// maxRecorded is the longest duration that a Histogram records.
 const maxRecorded = time.Hour
 
-// Histogram counts times up to an hour, to three digits and a microsecond. It
-// is not safe for concurrent use.
+// Histogram counts durations from a microsecond to an hour, with three significant
+// digits. It is not safe for concurrent use.
 type Histogram struct{ h *hdrhistogram.Histogram }
 
 // NewHistogram returns an empty histogram.
@@ -18,15 +18,15 @@
 	return Histogram{hdrhistogram.New(1, maxRecorded.Microseconds(), 3)}
 }
 
-// Add counts a time; one below 0 counts as 0, and one over an hour as an hour.
+// Add counts a duration; one below 0 counts as 0, and one over an hour as an hour.
 func (h Histogram) Add(d time.Duration) {
-	h.h.RecordValue(min(max(d, 0), maxRecorded).Microseconds()) // fails only out of bounds
+	h.h.RecordValue(min(max(d, 0), maxRecorded).Microseconds()) // RecordValue fails only for values out of range
 }
 
 // Merge adds the counts of another histogram.
 func (h Histogram) Merge(from Histogram) { h.h.Merge(from.h) }
 
-// Latency sums up a Histogram, in seconds.
+// Latency summarizes a Histogram. Its durations are in seconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean"`
@@ -37,7 +37,7 @@
 	Max   float64 `json:"max"`
 }
 
-// Latency sums up the histogram.
+// Latency returns a summary of the histogram.
 func (h Histogram) Latency() Latency {
 	const microsecondsPerSecond = 1e6
 	quantile := func(p float64) float64 { return float64(h.h.ValueAtQuantile(p)) / microsecondsPerSecond }
--- a/internal/lab/result/recovery.go
+++ b/internal/lab/result/recovery.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// recoveredFraction of the fraction served before the first event counts as
-	// recovered.
+	// A run has recovered when it serves recoveredFraction of the fraction that it
+	// served before the first event.
 	recoveredFraction = 0.9
 
-	notRecovered = -1 // Run.Recovery
+	notRecovered = -1 // value of Run.Recovery
 )
 
-// FindRecovery sets Recovery from the windows: the time from the end of the
-// last event to the first second that serves, together with the second after
-// it, nine tenths of the fraction of the weight that was served between the
-// warm-up and the first event.
+// FindRecovery sets Recovery from the windows: the time from the end of the last
+// event to the first of two consecutive seconds that each serve at least nine
+// tenths of the reference, which is the fraction of the weight that was served
+// between the warm-up and the first event. Without events, Recovery is 0.
 func (r *Run) FindRecovery(s *scenario.Scenario) {
 	r.Recovery = notRecovered
 	if len(s.Events) == 0 {
@@ -31,7 +31,7 @@
 	from := int(s.Warmup.Std() / time.Second)
 	to := int(firstEvent / time.Second)
 	if from >= to {
-		from = 0 // an event in the warm-up leaves only what is before it
+		from = 0 // the first event is in the warm-up: the reference is all time before it
 	}
 	want := recoveredFraction * r.servedFraction(from, to)
 	end := s.LastEventEnd()
@@ -43,8 +43,8 @@
 	}
 }
 
-// servedFraction is the fraction of the weight that was served in some windows,
-// 1 if there was none.
+// servedFraction returns the fraction of the weight that was served in the windows
+// from from up to, but not including, to; 1 if they have no weight.
 func (r *Run) servedFraction(from, to int) float64 {
 	weight := 0.0
 	served := 0.0
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -1,5 +1,5 @@
-// Package result holds what a run of the lab measured, as one JSON file and a
-// table.
+// Package result defines what a run of the lab measures, and writes it as JSON and
+// as a table.
 package result
 
 import (
@@ -13,102 +13,106 @@
 	"bankshift/internal/lab/scenario"
 )
 
-// The kinds of a run.
+// Values of Run.Kind: a run with hollow nodes on a virtual clock, or with real
+// processes.
 const (
 	Hollow = "hollow"
 	Real   = "real"
 )
 
-// Run is the result of one run. All of it but Version, Machine and Cost is the
-// same whenever a hollow run is repeated with its seed.
+// Run is the result of one run. A hollow run that is repeated with the same seed
+// gives the same result, except for Version, Machine and Cost.
 type Run struct {
 	Scenario string  `json:"scenario"`
 	Kind     string  `json:"kind"`    // Hollow or Real
-	Version  string  `json:"version"` // of the project, as the build knows it
+	Version  string  `json:"version"` // of the source; see func Version
 	Seed     uint64  `json:"seed"`
-	Seconds  float64 `json:"seconds"` // measured, without the warm-up
+	Seconds  float64 `json:"seconds"` // measured time, without the warm-up
 	Nodes    int     `json:"nodes"`
 	Servers  int     `json:"servers"`
 
-	Requests   Requests           `json:"requests"`
-	Latency    map[string]Latency `json:"latency"` // by class, and "all"; of served requests, from the intended time of sending
-	Added      Latency            `json:"added"`   // by nodes to served requests: latency less network and server
-	Control    Control            `json:"control"`
-	Peaks      map[string]Peak    `json:"sums"`       // sums over the fleet in their worst seconds
-	Crashes    int                `json:"falls"`      // of servers that warm up
-	Recovery   float64            `json:"recovery_s"` // seconds, see FindRecovery; -1: not within the run
-	Windows    []Window           `json:"windows"`    // second by second, warm-up included
-	Events     []string           `json:"events"`     // with their times
-	Violations []string           `json:"broken"`     // rules that were broken
+	Requests Requests           `json:"requests"`
+	Latency  map[string]Latency `json:"latency"` // of served requests, from the intended time of sending; by class, and "all"
+	// Added is the latency that nodes added to served requests: their latency less
+	// the time at the server and, in hollow runs, less the time in the network.
+	Added      Latency         `json:"added"`
+	Control    Control         `json:"control"`
+	Peaks      map[string]Peak `json:"sums"`       // sums over the fleet in their worst seconds, by name
+	Crashes    int             `json:"falls"`      // of servers during their warm-up, by overload
+	Recovery   float64         `json:"recovery_s"` // seconds; -1: not within the run; see FindRecovery
+	Windows    []Window        `json:"windows"`    // one for each second, warm-up included
+	Events     []string        `json:"events"`     // descriptions, with their times
+	Violations []string        `json:"broken"`     // descriptions of violated rules
 
 	Machine Machine `json:"machine"`
 	Cost    Cost    `json:"cost"`
 }
 
-// Requests counts requests by how they ended. A client's request and all its
-// tries are one; it counts if its first try was to be sent after the warm-up.
+// Requests counts requests by their outcome. All tries of a client's request count
+// as one request; it counts if its first try was due after the warm-up.
 type Requests struct {
 	Offered         int `json:"offered"`
 	Served          int `json:"served"`
-	WithinObjective int `json:"in_aim"`
+	WithinObjective int `json:"in_aim"` // served within the latency objective of their class
 	Rejected        int `json:"refused"`
 	Failed          int `json:"failed"`
-	Lost            int `json:"lost"` // no response by the deadline and its slack
+	Lost            int `json:"lost"` // no response by the deadline and a slack
 
-	Weight       float64 `json:"worth"`
-	ServedWeight float64 `json:"served_worth"`
+	Weight       float64 `json:"worth"`        // sum of the offered requests' priority weights
+	ServedWeight float64 `json:"served_worth"` // of served requests; past the objective, a fraction of the weight
 
-	Tries       int     `json:"tries"` // as the nodes received them
-	Attempts    int     `json:"attempts"`
-	Retries     int     `json:"further"`      // attempts after a try's first
+	Tries       int     `json:"tries"`        // sent by clients; hollow: without those that found no node available
+	Attempts    int     `json:"attempts"`     // from nodes to servers; real: only those that reached a server
+	Retries     int     `json:"further"`      // attempts after the first of each try
 	CrossZone   int     `json:"cross_zone"`   // attempts to another zone of the region
 	CrossRegion int     `json:"cross_region"` // attempts to another region
-	Wasted      float64 `json:"wasted"`       // fraction of the servers' work that no client got
+	Wasted      float64 `json:"wasted"`       // fraction of the servers' work whose result no client got
 
-	WithinQuota       int `json:"inside_shares"` // within their tenants' quotas over the fleet
-	WithinQuotaServed int `json:"inside_served"` // of these
+	WithinQuota       int `json:"inside_shares"` // requests within their tenant's quota for the whole fleet
+	WithinQuotaServed int `json:"inside_served"` // the served ones among WithinQuota
 }
 
-// Control is the list traffic after the warm-up.
+// Control describes the list traffic between nodes and discovery after the warm-up.
 type Control struct {
-	Calls        int     `json:"calls"`        // of all nodes to discovery
-	Bytes        int64   `json:"bytes"`        // both ways, headers included
-	NodeRate     float64 `json:"node_rate"`    // bytes/s, mean node
-	WorstRate    float64 `json:"worst_rate"`   // bytes/s, worst node over the run
+	Calls        int     `json:"calls"`        // from all nodes to discovery
+	Bytes        int64   `json:"bytes"`        // in both directions, headers included
+	NodeRate     float64 `json:"node_rate"`    // bytes/s, mean of the nodes
+	WorstRate    float64 `json:"worst_rate"`   // bytes/s, mean over the run of the node with the most
 	WorstSecond  int64   `json:"worst_second"` // bytes of all nodes in their worst second
-	Snapshots    int     `json:"lists"`        // whole lists
-	Changes      int     `json:"changes"`      // versions of the list made by the scenario
-	Notification Latency `json:"told"`         // from a change until a node applied it
+	Snapshots    int     `json:"lists"`        // responses with a whole list
+	Changes      int     `json:"changes"`      // list versions that the scenario's events created
+	Notification Latency `json:"told"`         // time from a change until a node applied it; hollow
 }
 
-// Peak is a sum over the fleet in its worst second, beside its bound.
+// Peak is the value of a sum over the fleet in its worst second, and its bound.
 type Peak struct {
 	Worst float64 `json:"worst"`
-	Bound float64 `json:"bound"` // of that second; 0: none
+	Bound float64 `json:"bound"` // in the same second; 0: none
 	At    float64 `json:"at"`    // seconds since the start of the traffic
 }
 
-// Take keeps a second's value if it is worse: further beyond its bound, or
-// larger where there is none.
+// Take records the value and bound of a second if they are worse than the recorded
+// ones: if the value is larger in proportion to its bound, or larger where there
+// is no bound.
 func (p *Peak) Take(worst, bound float64, at time.Duration) {
-	const noBound = 1e-9 // in place of a bound of 0; products avoid the division by it
+	const noBound = 1e-9 // replaces a bound of 0; comparing products avoids a division
 	if worst > 0 && (p.Worst == 0 || worst*max(p.Bound, noBound) > p.Worst*max(bound, noBound)) {
 		*p = Peak{worst, bound, at.Seconds()}
 	}
 }
 
-// Window is one second. Requests count where their first try was to be sent.
+// Window counts the requests whose first try was due in one second of the traffic.
 type Window struct {
 	Offered      int     `json:"offered"`
 	Served       int     `json:"served"`
 	Rejected     int     `json:"refused"`
-	Failed       int     `json:"failed"` // lost ones included
+	Failed       int     `json:"failed"` // real: lost requests included
 	Attempts     int     `json:"attempts"`
 	Weight       float64 `json:"worth"`
 	ServedWeight float64 `json:"served_worth"`
 }
 
-// Machine is the machine of a run.
+// Machine describes the machine on which a run was made.
 type Machine struct {
 	CPUs int    `json:"cpus"`
 	Go   string `json:"go"`
@@ -120,15 +124,16 @@
 	return Machine{CPUs: runtime.NumCPU(), Go: runtime.Version(), OS: runtime.GOOS + "/" + runtime.GOARCH}
 }
 
-// Cost is what the run took of the machine; it is never the same twice.
+// Cost is what the run used of the machine. It differs from run to run.
 type Cost struct {
-	Seconds    float64 `json:"seconds"`      // of real time
-	NodeCPU    float64 `json:"node_cpu"`     // cores a node: of real processes, else of the balancers
-	NodeMemory int64   `json:"node_memory"`  // bytes, peak of the largest real node; hollow: heap a node
-	EventTime  float64 `json:"module_event"` // mean seconds of a balancer's event; hollow
+	Seconds    float64 `json:"seconds"`      // wall-clock time
+	NodeCPU    float64 `json:"node_cpu"`     // cores per node: used by the process; hollow: by the balancer alone
+	NodeMemory int64   `json:"node_memory"`  // bytes: peak of the largest process; hollow: heap per node
+	EventTime  float64 `json:"module_event"` // mean seconds per event of a balancer; hollow
 }
 
-// New starts the result of a run of a scenario.
+// New returns the result of a run of a scenario before its measurements. kind is
+// Hollow or Real.
 func New(s *scenario.Scenario, kind string) *Run {
 	return &Run{
 		Scenario:   s.Name,
@@ -147,7 +152,9 @@
 	}
 }
 
-// Version is the revision that the build was made from, if it is known.
+// Version returns the revision from which this program was built, with the suffix
+// "+changed" if the source had uncommitted changes; "unknown" without build
+// information.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/lab/result/result_test.go
+++ b/internal/lab/result/result_test.go
@@ -16,7 +16,7 @@
 func TestHistogram(t *testing.T) {
 	h := NewHistogram()
 	if l := h.Latency(); l != (Latency{}) {
-		t.Errorf("empty: %+v", l)
+		t.Errorf("empty histogram: %+v, want zeros", l)
 	}
 	for i := range 1000 {
 		h.Add(time.Duration(i+1) * time.Millisecond)
@@ -25,7 +25,7 @@
 	h.Add(2 * time.Hour)
 	l := h.Latency()
 	if l.Count != 1002 || l.P50 < 0.499 || l.P50 > 0.502 || l.P99 < 0.989 || l.P99 > 0.993 || l.Max < 3590 || l.Max > 3610 {
-		t.Errorf("%+v", l)
+		t.Errorf("%+v, want 1002 durations, p50 0.5 s, p99 0.99 s, maximum 3600 s", l)
 	}
 }
 
@@ -58,7 +58,7 @@
 	}
 	r.FindRecovery(s)
 	if r.Recovery != 3 {
-		t.Errorf("recovery %v s, want 3: the second at 5 s is alone", r.Recovery)
+		t.Errorf("recovery %v s, want 3: the second at 5 s is followed by one that serves nothing", r.Recovery)
 	}
 	none := 0
 	r.Requests, r.Crashes, r.Control = Requests{Offered: 10, Attempts: 12, Weight: 10, ServedWeight: 9}, 1, Control{NodeRate: 5, WorstRate: 9}
@@ -66,11 +66,11 @@
 	met := scenario.Bounds{Served: 0.9, Attempts: 1.2, P99: second / 5, ListRate: 5, WorstListRate: 9, Recovery: 3 * second}
 	r.CheckBounds(met)
 	if len(r.Violations) != 0 {
-		t.Errorf("%q", r.Violations)
+		t.Errorf("violations %q of bounds that are met, want none", r.Violations)
 	}
 	r.CheckBounds(scenario.Bounds{Served: 0.91, Attempts: 1.1, P99: second / 6, ListRate: 4, WorstListRate: 8, Recovery: 2 * second, Crashes: &none})
 	if len(r.Violations) != 7 {
-		t.Errorf("%q, want seven", r.Violations)
+		t.Errorf("violations %q, want seven", r.Violations)
 	}
 }
 
@@ -79,17 +79,18 @@
 	s.Take(5, 10, 1*time.Second)
 	s.Take(6, 20, 2*time.Second)
 	if s != (Peak{5, 10, 1}) {
-		t.Errorf("%+v, want the second nearer to its bound", s)
+		t.Errorf("%+v, want the one of second 1, which is nearer to its bound", s)
 	}
 	s = Peak{}
 	s.Take(5, 0, 1*time.Second)
 	s.Take(6, 0, 2*time.Second)
 	if s.Worst != 6 {
-		t.Errorf("%+v, want the larger one", s)
+		t.Errorf("%+v, want the larger value, 6", s)
 	}
 }
 
-// TestStoredRuns decodes the results that are stored with the documentation.
+// TestStoredRuns guards against stored results in docs/capacity that the Run type
+// no longer matches: a field would be lost when they are decoded and written.
 func TestStoredRuns(t *testing.T) {
 	files, err := filepath.Glob("../../../docs/capacity/*.json")
 	if err != nil || len(files) < 10 {
@@ -98,7 +99,7 @@
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".json")
 		if name == "slopes" {
-			continue // a report of package scaling, which tests it
+			continue // a report of package scaling; tested there
 		}
 		raw, err := os.ReadFile(file)
 		if err != nil {
@@ -116,7 +117,7 @@
 		}
 		var rewritten bytes.Buffer
 		if err := r.Write(&rewritten); err != nil || !sameJSON(t, rewritten.Bytes(), raw) {
-			t.Errorf("%s: written again it differs; error %v", file, err)
+			t.Errorf("%s: differs after decoding and writing; error %v", file, err)
 		}
 	}
 }
--- a/internal/lab/result/table.go
+++ b/internal/lab/result/table.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// Table writes the run for people to read.
+// Table writes the result as a plain-text table.
 func (r *Run) Table(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	r.writeSummary(t)
