--- a/cmd/bankshift-lab/agree.go
+++ b/cmd/bankshift-lab/agree.go
@@ -14,27 +14,29 @@
 
 type agreeCommand struct {
 	Scenario string  `arg:"" type:"existingfile" help:"Scenario file."`
-	Seed     *uint64 `help:"Instead of the scenario's."`
-	Node     string  `type:"existingfile" placeholder:"PATH" help:"The node's program; built first if left out."`
+	Seed     *uint64 `help:"Seed to use instead of the scenario's."`
+	Node     string  `type:"existingfile" placeholder:"PATH" help:"The node's executable; built first if omitted."`
 }
 
-// comparison is a quantity that hollow and real nodes must agree on.
+// comparison holds the values of a quantity in a run with hollow nodes and in a run
+// with real nodes.
 type comparison struct {
 	name      string
 	hollow    float64
 	real      float64
-	tolerance float64 // of the difference
+	tolerance float64 // largest accepted difference
 }
 
 func (c comparison) agrees() bool { return math.Abs(c.hollow-c.real) <= c.tolerance }
 
 const (
-	servedTolerance   = 0.01 // of all requests: chance alone changes some in a thousand
-	attemptsTolerance = 0.03 // attempts a request
-	listsTolerance    = 0.15 // fraction of the list bytes: headers differ in length, and polls in number by their phase
+	servedTolerance   = 0.01 // fraction of all requests: random variation alone changes a few per thousand
+	attemptsTolerance = 0.03 // attempts per request
+	listsTolerance    = 0.15 // fraction of the list bytes: header lengths and, depending on phase, poll counts differ
 )
 
-// compare puts two runs of one scenario side by side.
+// compare returns the quantities in which a hollow and a real run of one scenario
+// must agree.
 func compare(hollow, real *result.Run) []comparison {
 	ratio := func(a, b int) float64 { return float64(a) / float64(max(1, b)) }
 	h := hollow.Requests
@@ -47,7 +49,8 @@
 	}
 }
 
-// Run plays a scenario with hollow and with real nodes.
+// Run runs a scenario with hollow and with real nodes and prints a comparison. It
+// returns errViolation if a quantity differs too much or a run violated a rule.
 func (c *agreeCommand) Run(ctx context.Context, o output) error {
 	s, err := loadScenario(c.Scenario, c.Seed)
 	if err != nil {
--- a/cmd/bankshift-lab/main.go
+++ b/cmd/bankshift-lab/main.go
@@ -1,9 +1,10 @@
-// Command bankshift-lab plays scale runs of the node on one machine: scenarios
-// with hollow nodes or real processes, the agreement of the two, and the
-// measurements behind docs/CAPACITY.md. Everything stays on loopback.
+// Command bankshift-lab tests fleets of nodes on one machine. It runs scenarios with
+// hollow nodes or with real processes, compares the two, and makes the measurements
+// for docs/CAPACITY.md. All network traffic stays on loopback.
 //
-// It exits with 0 if all rules held, 1 if one did not, and 2 if it was used
-// wrongly or could not run.
+// The exit code is 0 if everything held, 1 if a rule, a tolerance or a budget was
+// violated or a measurement cannot be trusted, and 2 for wrong usage or a run that
+// could not be made.
 package main
 
 import (
@@ -27,17 +28,18 @@
 	exitError     = 2
 )
 
-// errViolation means that a rule did not hold. It has been printed.
-var errViolation = errors.New("did not hold")
+// errViolation means that a rule, a tolerance or a budget was violated, or that a
+// measurement cannot be trusted. The command has already printed which.
+var errViolation = errors.New("a rule, a tolerance or a budget was violated, or a measurement cannot be trusted")
 
-// commandLine is what kong parses.
+// commandLine defines the commands and flags for kong.
 type commandLine struct {
-	Run    runCommand    `cmd:"" help:"Play a scenario and say whether it held."`
-	Agree  agreeCommand  `cmd:"" help:"Play a scenario with hollow and with real nodes and compare."`
-	Slopes slopesCommand `cmd:"" help:"Measure what the planned size costs: each figure at three sizes or more."`
+	Run    runCommand    `cmd:"" help:"Run a scenario and check its rules."`
+	Agree  agreeCommand  `cmd:"" help:"Run a scenario with hollow and with real nodes and compare the results."`
+	Slopes slopesCommand `cmd:"" help:"Measure resource use and latency at three sizes or more, and extrapolate to the planned size."`
 }
 
-const description = `Scale runs of the node on one machine, all on loopback.
+const description = `Tests fleets of nodes on one machine, all on loopback.
 
 Examples:
 
@@ -49,9 +51,10 @@
 
   bankshift-lab slopes --json slopes.json idle decide
 
-Exit codes: 0 all held, 1 something did not, 2 wrong use or a run that could not be made.`
+Exit codes: 0 everything held, 1 a rule, a tolerance or a budget was violated or a measurement cannot be trusted,
+2 wrong usage or a run that could not be made.`
 
-// output is where the commands write.
+// output holds the streams to which the commands write.
 type output struct {
 	stdout io.Writer
 	stderr io.Writer
@@ -64,10 +67,11 @@
 	os.Exit(code)
 }
 
-// exitCode is the panic by which kong's --help leaves run.
+// exitCode is the value of the panic by which kong's exit, as after --help, leaves
+// run.
 type exitCode int
 
-// run is the program without its exit.
+// run executes the program with the given arguments and returns its exit code.
 func run(ctx context.Context, args []string, o output) (code int) {
 	var c commandLine
 	parser, err := kong.New(&c,
@@ -103,14 +107,14 @@
 	return o.fail(err)
 }
 
-// fail prints an error and returns the exit code for it.
+// fail prints an error to standard error and returns exitError.
 func (o output) fail(err error) int {
 	fmt.Fprintln(o.stderr, "bankshift-lab:", err)
 	return exitError
 }
 
-// writeResult writes a result: its JSON to a file and the table to standard
-// output, or with the file "-" the JSON to standard output.
+// writeResult writes a result's table to standard output and, unless file is empty,
+// its JSON to file. With the file "-", it writes only the JSON, to standard output.
 func (o output) writeResult(file string, asJSON, asTable func(io.Writer) error) error {
 	if file == "-" {
 		return asJSON(o.stdout)
--- a/cmd/bankshift-lab/main_test.go
+++ b/cmd/bankshift-lab/main_test.go
@@ -51,7 +51,7 @@
 	for _, c := range []struct {
 		args       []string
 		code       int
-		wantOutput string // on either output
+		wantOutput string // on standard output or standard error
 	}{
 		{[]string{"run", good}, exitOK, "served"},
 		{[]string{"run", good, "--hollow", "--seed", "9"}, exitOK, "seed 9"},
@@ -78,7 +78,7 @@
 	file := filepath.Join(t.TempDir(), "run.json")
 	scenario := scenarioFile(t, smallScenario)
 	if code, o, e := runLab(t, "run", scenario, "--json", file); code != exitOK || !strings.Contains(o, "served") {
-		t.Fatalf("%d\n%s%s", code, o, e)
+		t.Fatalf("exit code %d, want 0 and the table in\n%s%s", code, o, e)
 	}
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -88,7 +88,7 @@
 	for _, text := range []string{string(raw), o} {
 		var r result.Run
 		if err := json.Unmarshal([]byte(text), &r); err != nil || r.Kind != result.Hollow || r.Requests.Offered == 0 {
-			t.Errorf("%v: %+v", err, r)
+			t.Errorf("error %v, want a hollow run with requests: %+v", err, r)
 		}
 	}
 }
@@ -98,11 +98,13 @@
 	cancel()
 	var o, e bytes.Buffer
 	if code := run(ctx, []string{"run", scenarioFile(t, smallScenario)}, output{&o, &e}); code != exitError || !strings.Contains(e.String(), "canceled") {
-		t.Errorf("exit code %d: %s", code, e.String())
+		t.Errorf("exit code %d, want 2 and an error that names the cancellation: %s", code, e.String())
 	}
 }
 
-// TestCompare: each quantity has its own tolerance.
+// TestCompare guards against a difference that is accepted beyond its quantity's
+// tolerance, or held against another quantity: each change exceeds one tolerance.
+// Violations of a run must be printed too.
 func TestCompare(t *testing.T) {
 	baseline := func() *result.Run {
 		r := &result.Run{Kind: result.Real}
@@ -126,13 +128,14 @@
 	r.Violations = []string{"a rule"}
 	var b bytes.Buffer
 	if err := printAgreement(&b, compare(baseline(), r), baseline(), r); err != nil || strings.Count(b.String(), "agree") != 3 || !strings.Contains(b.String(), "a rule") {
-		t.Errorf("%v\n%s", err, b.String())
+		t.Errorf("error %v, want three agreements and the violated rule in\n%s", err, b.String())
 	}
 }
 
-// TestNodeDependencies: the node and the simulator's adapter do not depend on the lab.
-// Besides the standard library the adapter depends on no module, and the node on
-// the one package by which it asks the kernel about a connection.
+// TestNodeDependencies guards against new dependencies of the node and of the
+// simulator's adapter. Neither may depend on the lab. Of other modules, the adapter
+// depends on none, and the node only on the package with which it queries the
+// kernel about a connection.
 func TestNodeDependencies(t *testing.T) {
 	for program, modulePackages := range map[string][]string{
 		"bankshift/cmd/bankshift": {"golang.org/x/sys/unix"},
--- a/cmd/bankshift-lab/run.go
+++ b/cmd/bankshift-lab/run.go
@@ -13,12 +13,13 @@
 	Scenario string  `arg:"" type:"existingfile" help:"Scenario file."`
 	Hollow   bool    `xor:"kind" help:"With hollow nodes on a virtual clock (the default)."`
 	Real     bool    `xor:"kind" help:"With real processes on loopback."`
-	Seed     *uint64 `help:"Instead of the scenario's."`
-	JSON     string  `name:"json" placeholder:"FILE" help:"Write the result there too, - for standard output instead of the table."`
-	Node     string  `type:"existingfile" placeholder:"PATH" help:"The node's program; built first if left out."`
+	Seed     *uint64 `help:"Seed to use instead of the scenario's."`
+	JSON     string  `name:"json" placeholder:"FILE" help:"Also write the result as JSON to this file; - writes it to standard output instead of the table."`
+	Node     string  `type:"existingfile" placeholder:"PATH" help:"The node's executable; built first if omitted."`
 }
 
-// Run plays a scenario.
+// Run runs a scenario and writes its result. It returns errViolation if the run
+// violated a rule.
 func (c *runCommand) Run(ctx context.Context, o output) error {
 	s, err := loadScenario(c.Scenario, c.Seed)
 	if err != nil {
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// loadScenario reads a scenario; seed replaces its own unless it is nil.
+// loadScenario reads a scenario file. A seed that is not nil replaces the file's.
 func loadScenario(path string, seed *uint64) (*scenario.Scenario, error) {
 	s, err := scenario.Load(path)
 	if err == nil && seed != nil {
--- a/cmd/bankshift-lab/slopes.go
+++ b/cmd/bankshift-lab/slopes.go
@@ -11,13 +11,14 @@
 )
 
 type slopesCommand struct {
-	What    []string      `arg:"" optional:"" help:"Measurements: ${measurements}. All if left out."`
-	JSON    string        `name:"json" placeholder:"FILE" help:"Write every point there too, - for standard output instead of the table."`
-	Node    string        `type:"existingfile" placeholder:"PATH" help:"The node's program; built first if left out."`
-	Measure time.Duration `default:"10s" help:"For which a real node is watched at each size."`
+	What    []string      `arg:"" optional:"" help:"Measurements: ${measurements}. All if omitted."`
+	JSON    string        `name:"json" placeholder:"FILE" help:"Also write the report as JSON to this file; - writes it to standard output instead of the table."`
+	Node    string        `type:"existingfile" placeholder:"PATH" help:"The node's executable; built first if omitted."`
+	Measure time.Duration `default:"10s" help:"How long a real node is measured at each size."`
 }
 
-// Run makes measurements.
+// Run makes the measurements and writes their report. It returns errViolation if a
+// measurement cannot be trusted or a figure is over its budget.
 func (c *slopesCommand) Run(ctx context.Context, o output) error {
 	dir, err := os.MkdirTemp("", "bankshift-lab-")
 	if err != nil {
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// logf prints the progress of measurements.
+// logf prints a line about the progress of measurements to standard error.
 func (o output) logf(format string, args ...any) {
 	fmt.Fprintf(o.stderr, format+"\n", args...)
 }
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -32,7 +32,7 @@
 	Servers  int     `json:"servers"`
 
 	Requests Requests           `json:"requests"`
-	Latency  map[string]Latency `json:"latency"` // of served requests, from the intended time of sending; by class, and "all"
+	Latency  map[string]Latency `json:"latency"` // of served requests, from the intended send time; by class, and "all"
 	// Added is the latency that nodes added to served requests: their latency less
 	// the time at the server and, in hollow runs, less the time in the network.
 	Added      Latency         `json:"added"`
