--- a/cmd/bankshift-lab/main_test.go
+++ b/cmd/bankshift-lab/main_test.go
@@ -15,7 +15,7 @@
 	"bankshift/internal/lab/scaling"
 )
 
-const small = `
+const smallScenario = `
 length = "2s"
 warm = "500ms"
 [traffic]
@@ -45,40 +45,40 @@
 }
 
 func TestExitCodes(t *testing.T) {
-	good := scenarioFile(t, small)
-	bad := scenarioFile(t, small+"[holds]\nserved = 1\np99 = \"1ms\"\n")
-	large := scenarioFile(t, small+"[fleet]\nnodes = 1000\n")
+	good := scenarioFile(t, smallScenario)
+	bad := scenarioFile(t, smallScenario+"[holds]\nserved = 1\np99 = \"1ms\"\n")
+	large := scenarioFile(t, smallScenario+"[fleet]\nnodes = 1000\n")
 	for _, c := range []struct {
-		args []string
-		code int
-		says string // on either output
+		args       []string
+		code       int
+		wantOutput string // on standard output or standard error
 	}{
 		{[]string{"run", good}, exitOK, "served"},
 		{[]string{"run", good, "--hollow", "--seed", "9"}, exitOK, "seed 9"},
 		{[]string{"run", bad}, exitViolation, "BROKEN"},
-		{[]string{"run", scenarioFile(t, "length = 7\n")}, exitUsage, "length"},
-		{[]string{"run", good, "--hollow", "--real"}, exitUsage, "--real"},
-		{[]string{"run", "no-such-file.toml"}, exitUsage, "no-such-file"},
-		{[]string{"run", large, "--real"}, exitUsage, "too large"},
-		{[]string{"agree", large}, exitUsage, "too large"},
-		{[]string{"slopes", "nonsense", "--node", good}, exitUsage, "nonsense"},
-		{[]string{}, exitUsage, "run"},
-		{[]string{"nonsense"}, exitUsage, "nonsense"},
+		{[]string{"run", scenarioFile(t, "length = 7\n")}, exitError, "length"},
+		{[]string{"run", good, "--hollow", "--real"}, exitError, "--real"},
+		{[]string{"run", "no-such-file.toml"}, exitError, "no-such-file"},
+		{[]string{"run", large, "--real"}, exitError, "too large"},
+		{[]string{"agree", large}, exitError, "too large"},
+		{[]string{"slopes", "nonsense", "--node", good}, exitError, "nonsense"},
+		{[]string{}, exitError, "run"},
+		{[]string{"nonsense"}, exitError, "nonsense"},
 		{[]string{"--help"}, exitOK, "bankshift-lab agree scenarios/"},
 		{[]string{"slopes", "--help"}, exitOK, strings.Join(scaling.Names()[:2], ", ")},
 	} {
 		code, o, e := runLab(t, c.args...)
-		if code != c.code || !strings.Contains(o+e, c.says) {
-			t.Errorf("%q: exit code %d, want %d and %q in\n%s%s", c.args, code, c.code, c.says, o, e)
+		if code != c.code || !strings.Contains(o+e, c.wantOutput) {
+			t.Errorf("%q: exit code %d, want %d and %q in\n%s%s", c.args, code, c.code, c.wantOutput, o, e)
 		}
 	}
 }
 
 func TestJSON(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "run.json")
-	scenario := scenarioFile(t, small)
+	scenario := scenarioFile(t, smallScenario)
 	if code, o, e := runLab(t, "run", scenario, "--json", file); code != exitOK || !strings.Contains(o, "served") {
-		t.Fatalf("%d\n%s%s", code, o, e)
+		t.Fatalf("exit code %d, want 0 and the table in\n%s%s", code, o, e)
 	}
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -88,7 +88,7 @@
 	for _, text := range []string{string(raw), o} {
 		var r result.Run
 		if err := json.Unmarshal([]byte(text), &r); err != nil || r.Kind != result.Hollow || r.Requests.Offered == 0 {
-			t.Errorf("%v: %+v", err, r)
+			t.Errorf("error %v, want a hollow run with requests: %+v", err, r)
 		}
 	}
 }
@@ -97,14 +97,16 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	var o, e bytes.Buffer
-	if code := run(ctx, []string{"run", scenarioFile(t, small)}, output{&o, &e}); code != exitUsage || !strings.Contains(e.String(), "canceled") {
-		t.Errorf("exit code %d: %s", code, e.String())
+	if code := run(ctx, []string{"run", scenarioFile(t, smallScenario)}, output{&o, &e}); code != exitError || !strings.Contains(e.String(), "canceled") {
+		t.Errorf("exit code %d, want 2 and an error that names the cancellation: %s", code, e.String())
 	}
 }
 
-// TestCompare: each quantity has its own tolerance.
+// TestCompare guards against a difference that is accepted beyond its quantity's
+// tolerance, or held against another quantity: each change exceeds one tolerance.
+// Violations of a run must be printed too.
 func TestCompare(t *testing.T) {
-	a := func() *result.Run {
+	baseline := func() *result.Run {
 		r := &result.Run{Kind: result.Real}
 		r.Requests.Offered, r.Requests.Served, r.Requests.Attempts, r.Control.NodeRate = 1000, 990, 1010, 1000
 		return r
@@ -114,26 +116,27 @@
 		func(r *result.Run) { r.Requests.Attempts += 31 },
 		func(r *result.Run) { r.Control.NodeRate *= 1.2 },
 	} {
-		r := a()
+		r := baseline()
 		change(r)
-		for j, c := range compare(a(), r) {
+		for j, c := range compare(baseline(), r) {
 			if c.agrees() != (i != j) {
 				t.Errorf("change %d: %+v agrees: %t", i, c, c.agrees())
 			}
 		}
 	}
-	r := a()
+	r := baseline()
 	r.Violations = []string{"a rule"}
 	var b bytes.Buffer
-	if err := printAgreement(&b, compare(a(), r), a(), r); err != nil || strings.Count(b.String(), "agree") != 3 || !strings.Contains(b.String(), "a rule") {
-		t.Errorf("%v\n%s", err, b.String())
+	if err := printAgreement(&b, compare(baseline(), r), baseline(), r); err != nil || strings.Count(b.String(), "agree") != 3 || !strings.Contains(b.String(), "a rule") {
+		t.Errorf("error %v, want three agreements and the violated rule in\n%s", err, b.String())
 	}
 }
 
-// TestNodeStaysLean: the node and the simulator's adapter do not depend on the lab.
-// Besides the standard library the adapter depends on no module, and the node on
-// the one package by which it asks the kernel about a connection.
-func TestNodeStaysLean(t *testing.T) {
+// TestNodeDependencies guards against new dependencies of the node and of the
+// simulator's adapter. Neither may depend on the lab. Of other modules, the adapter
+// depends on none, and the node only on the package with which it queries the
+// kernel about a connection.
+func TestNodeDependencies(t *testing.T) {
 	for program, modulePackages := range map[string][]string{
 		"bankshift/cmd/bankshift": {"golang.org/x/sys/unix"},
 		"bankshift/cmd/simhost":   nil,
--- a/internal/lab/scaling/added.go
+++ b/internal/lab/scaling/added.go
@@ -8,12 +8,12 @@
 	"bankshift/internal/lab/scenario"
 )
 
-// addedRates are requests a second: a third of the plan, the plan, twice and
-// three times that.
+// addedRates are the measured rates, in requests/s: a third of the planned rate,
+// the planned rate, and two and three times the planned rate.
 var addedRates = []float64{60, plannedRate, 2 * plannedRate, 3 * plannedRate}
 
-// addedLatency measures what a node adds to requests, and its processor time
-// under traffic.
+// addedLatency measures the latency that a node adds to requests, and the
+// processor time of the node under traffic.
 func addedLatency(ctx context.Context, e *Env) ([]Figure, error) {
 	figure := func(name, unit, mechanism string, budget float64) Figure {
 		return Figure{
@@ -22,7 +22,7 @@
 		}
 	}
 	p50 := figure("added by a node: 50 %", "ms", mechanismForward, 0)
-	p99 := figure("added by a node: 99 %", "ms", mechanismForward, budgetAdded)
+	p99 := figure("added by a node: 99 %", "ms", mechanismForward, budgetAddedLatency)
 	p999 := figure("added by a node: 99.9 %", "ms", mechanismForward, 0)
 	cpu := figure("node under traffic: processor", "% of a core", mechanismForward+"; "+mechanismHandle, 0)
 	rates := addedRates
@@ -30,7 +30,7 @@
 		rates = rates[:minPoints]
 	}
 	for _, rate := range rates {
-		r, err := e.playTraffic(ctx, rate)
+		r, err := e.runTraffic(ctx, rate)
 		if err != nil {
 			return nil, err
 		}
@@ -42,15 +42,16 @@
 	return []Figure{p50, p99, p999, cpu}, nil
 }
 
-// playTraffic plays requests at a rate to one real node.
-func (e *Env) playTraffic(ctx context.Context, rate float64) (*result.Run, error) {
-	const connections = 400 // more than requests wait at the highest rate
-	s := plannedScenario(1, smallFleet)
+// runTraffic sends requests to one real node at a rate in requests/s, and
+// returns the result of the run.
+func (e *Env) runTraffic(ctx context.Context, rate float64) (*result.Run, error) {
+	const connections = 400 // more than the requests in flight at the highest rate
+	s := plannedScenario(1, smallFleetServers)
 	s.Traffic.Rate = rate
 	s.Traffic.Connections = connections
 	s.Traffic.Retries = 0
 	s.Servers.Handshake = 0
-	s.Warmup = scenario.Duration(e.rest())
+	s.Warmup = scenario.Duration(e.settleTime())
 	s.Length = s.Warmup + scenario.Duration(e.measure())
 	r, err := fleet.Run(ctx, s, fleet.Options{Node: e.Node})
 	if err != nil {
