--- a/balancer/outlier_behaviour_test.go
+++ b/balancer/outlier_behaviour_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Guards against a log that fills the disk because an endpoint fails and recovers all the time.
+// Guards against many log actions about an endpoint that fails and recovers all the time: they must be few.
 func TestLogActionsAreLimited(t *testing.T) {
 	h := newHarness(harnessSettings(), 3)
 	h.run(3*time.Second, 100, "ordinary")
