--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -65,7 +65,7 @@
 	// Estimates over all endpoints.
 	learned           bool    // enough responses were seen to derive overload thresholds from them
 	latency           ewma    // s
-	uncrowdedLatency  float64 // s, lowest recent average latency
+	unloadedLatency   float64 // s, lowest recent average latency
 	serviceTime       ewma    // s, of a mean request
 	concurrency       float64 // requests that an endpoint works on at once, according to load reports
 	meanThroughput    float64 // responses per second to this node, mean over the warm endpoints of its subsets
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -9,7 +9,7 @@
 // Guards against a memory leak in a node that runs for months while endpoints are replaced: removed endpoints and
 // finished requests must be forgotten.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
-	node := newCheckingNode(lowHealthCheckCost)
+	node := newCheckingNode(lowHealthCheckPenalty)
 	for i := range 5000 {
 		node.Handle(node.now+time.Second, EndpointUpdate{Kind: IncrementalUpdate, Endpoints: []Endpoint{
 			{ID: EndpointID(i + 100), State: Ready, StartedAt: node.now},
--- a/balancer/healthcheck.go
+++ b/balancer/healthcheck.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	healthCheckToken     = 1                    // token of the timer that ends a round; the tick's timer has token 0
-	maxHealthCheckCost   = 0.005                // most points off the result that two checks before a send may cost
-	healthCheckTimeout   = 5 * time.Millisecond // several round trips, far below any latency objective
-	maxHealthCheckRounds = 3                    // of two endpoints each, before all endpoints count as full
+	healthCheckToken      = 1                    // token of the timer that ends a round; the tick's timer has token 0
+	maxHealthCheckPenalty = 0.005                // most points that two checks before a send may deduct from the result
+	healthCheckTimeout    = 5 * time.Millisecond // several round trips, far below any latency objective
+	maxHealthCheckRounds  = 3                    // of two endpoints each, before all endpoints count as full
 )
 
 // healthCheckRound is the state of a request that checks the load of two endpoints before it is sent.
@@ -25,7 +25,7 @@
 // the load of an endpoint.
 func (b *Balancer) shouldCheckLoad() bool {
 	return b.settings.HealthChecksAllowed && b.settings.LoadReportSource == LoadReportsByHealthCheck &&
-		2*b.settings.Costs.HealthCheck <= maxHealthCheckCost
+		2*b.settings.ResultPenalties.HealthCheck <= maxHealthCheckPenalty
 }
 
 // startHealthChecks starts health checks of two endpoints for a request and reports whether it did. The request then
--- a/balancer/healthcheck_test.go
+++ b/balancer/healthcheck_test.go
@@ -6,8 +6,8 @@
 )
 
 // newCheckingNode returns the balancer of one of 30 nodes with 20 endpoints. It checks their load before each send if
-// the given cost of a health check is low.
-func newCheckingNode(healthCheckCost float64) *Balancer {
+// the given penalty for a health check is low.
+func newCheckingNode(healthCheckPenalty float64) *Balancer {
 	settings := Settings{
 		Nodes:               30,
 		MaxAttempts:         3,
@@ -18,7 +18,7 @@
 		ConnectTimeout:      100 * time.Millisecond,
 		HealthChecksAllowed: true,
 		LoadReportSource:    LoadReportsByHealthCheck,
-		Costs:               Costs{HealthCheck: healthCheckCost},
+		ResultPenalties:     ResultPenalties{HealthCheck: healthCheckPenalty},
 		Classes: []Class{{
 			Name:             "page",
 			PriorityWeight:   1,
@@ -36,8 +36,8 @@
 }
 
 const (
-	lowHealthCheckCost  = 0.002
-	highHealthCheckCost = 0.01
+	lowHealthCheckPenalty  = 0.002
+	highHealthCheckPenalty = 0.01
 )
 
 // pageRequest returns a request of the class that newCheckingNode has.
@@ -52,7 +52,7 @@
 // Guards against sending without knowledge of the load that other nodes put on an endpoint: a node checks two endpoints
 // and sends to the less loaded one.
 func TestChecksTwoEndpointsAndTakesTheLessLoaded(t *testing.T) {
-	node := newCheckingNode(lowHealthCheckCost)
+	node := newCheckingNode(lowHealthCheckPenalty)
 	actions := node.Handle(time.Hour, pageRequest())
 	checked := healthChecks(actions)
 	if len(checked) != 2 || checked[0] == checked[1] || len(sends(actions)) > 0 {
@@ -71,7 +71,7 @@
 // Guards against a health check without a response that delays the request: after healthCheckTimeout, the request must
 // be sent to the endpoint that answered its health check.
 func TestHealthCheckTimesOut(t *testing.T) {
-	node := newCheckingNode(lowHealthCheckCost)
+	node := newCheckingNode(lowHealthCheckPenalty)
 	checked := healthChecks(node.Handle(time.Hour, pageRequest()))
 	node.Handle(node.now, HealthCheckEnded{Endpoint: checked[0], Report: reportOf(1, 0)})
 	to := sends(node.Handle(node.now+healthCheckTimeout, TimerFired{Token: healthCheckToken}))
@@ -83,7 +83,7 @@
 // Guards against rejecting a request because two endpoints happen to be full, and against checking endless others: more
 // endpoints are checked first, in at most maxHealthCheckRounds rounds.
 func TestMoreEndpointsAreCheckedIfTwoAreFull(t *testing.T) {
-	node := newCheckingNode(lowHealthCheckCost)
+	node := newCheckingNode(lowHealthCheckPenalty)
 	actions := node.Handle(time.Hour, pageRequest())
 	for round := 1; round <= maxHealthCheckRounds; round++ {
 		checked := healthChecks(actions)
@@ -101,7 +101,7 @@
 // Guards against costly health checks: if they are expensive, the node relies on its own counts. Also guards against
 // adding an endpoint that is not listed because a health check of it has ended.
 func TestNoHealthChecksIfExpensive(t *testing.T) {
-	node := newCheckingNode(highHealthCheckCost)
+	node := newCheckingNode(highHealthCheckPenalty)
 	actions := node.Handle(time.Hour, pageRequest())
 	if len(healthChecks(actions)) > 0 || len(sends(actions)) != 1 {
 		t.Errorf("got actions %v, want one send and no health check", actions)
@@ -115,7 +115,7 @@
 // Guards against a node without a limit before its first responses: a fleet at its capacity would be overloaded in its
 // first seconds, while every node still learns. There must be a threshold H from the start.
 func TestThresholdBeforeAnyResponse(t *testing.T) {
-	node := newCheckingNode(lowHealthCheckCost)
+	node := newCheckingNode(lowHealthCheckPenalty)
 	node.serviceTime = ewma{}
 	node.latency.samples = 0
 	node.refreshSubsets()
@@ -134,7 +134,7 @@
 // checked endpoints, others are checked, whereas a request with little work is sent.
 func TestHeavyRequestNeedsALessLoadedEndpoint(t *testing.T) {
 	for hint, wantSends := range map[time.Duration]int{20 * time.Millisecond: 1, 400 * time.Millisecond: 0} {
-		node := newCheckingNode(lowHealthCheckCost)
+		node := newCheckingNode(lowHealthCheckPenalty)
 		node.classByName("page").workHint = ewma{mean: 0.1, samples: 100}
 		request := pageRequest()
 		request.WorkHint = hint
@@ -151,7 +151,7 @@
 // Guards against late responses from endpoints that warm up, which do the same work more slowly: a request that a warm
 // endpoint would serve in time may be late there, and others are checked.
 func TestWarmingUpEndpointCountsAsSlower(t *testing.T) {
-	node := newCheckingNode(lowHealthCheckCost)
+	node := newCheckingNode(lowHealthCheckPenalty)
 	checked := healthChecks(node.Handle(time.Hour, pageRequest()))
 	for _, id := range checked {
 		endpoint := node.endpointsByID[id]
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -48,7 +48,7 @@
 	node := newNode(1, 360, 60)
 	node.learned = true
 	node.latency.mean = 0.1
-	node.uncrowdedLatency = 0.1
+	node.unloadedLatency = 0.1
 	node.tightestObjective = 1
 	node.meanThroughput = 0.5
 	node.peakThroughput = 0.5
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -29,9 +29,9 @@
 // machineType holds the latency estimates of a type of machine. A machine with many slow cores responds later than one
 // with few fast cores, even if both have the same throughput.
 type machineType struct {
-	latency          ewma    // s, of a mean request
-	recentLatency    ewma    // s, the same over fewer responses
-	uncrowdedLatency float64 // s, the unloaded latency: the recent minimum of latency; 0: not known yet
+	latency         ewma    // s, of a mean request
+	recentLatency   ewma    // s, the same over fewer responses
+	unloadedLatency float64 // s, the recent minimum of latency; 0: not known yet
 }
 
 // machineTypeByName returns the estimates of a machine type. All machine types that the settings do not name share one
@@ -132,12 +132,12 @@
 	growth := 1 + tickInterval.Seconds()/extremesTau
 	b.peakThroughput = math.Max(b.peakThroughput/growth, b.meanThroughput)
 	for _, machine := range b.machineTypes {
-		machine.uncrowdedLatency *= growth
+		machine.unloadedLatency *= growth
 		if machine.latency.samples >= machineTypeMinResponses {
-			machine.uncrowdedLatency = leastLatency(machine.uncrowdedLatency, machine.latency.mean)
+			machine.unloadedLatency = leastLatency(machine.unloadedLatency, machine.latency.mean)
 		}
 	}
-	b.uncrowdedLatency = leastLatency(b.uncrowdedLatency*growth, b.latency.mean)
+	b.unloadedLatency = leastLatency(b.unloadedLatency*growth, b.latency.mean)
 }
 
 // leastLatency returns the unloaded latency after one more average. least is the present one, or 0 if there is none.
--- a/balancer/objective_test.go
+++ b/balancer/objective_test.go
@@ -94,7 +94,7 @@
 // objective to compare its wait with.
 func TestCheckedEndpointWithoutObjective(t *testing.T) {
 	for name := range classesWithoutObjective {
-		node := newCheckingNode(lowHealthCheckCost)
+		node := newCheckingNode(lowHealthCheckPenalty)
 		arrived := pageRequest()
 		if name == "unknown" {
 			arrived.Class = "unknown"
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -57,7 +57,7 @@
 		b.recordSuccess(endpoint, request, event)
 	default:
 		if event.Outcome == TimedOut && b.now >= endpoint.imposedUntil { // its queue is too long for requests to wait
-			b.impose(endpoint, Overloaded, timeoutRest)
+			b.impose(endpoint, Overloaded, timeoutModeValidity)
 		}
 		// A failure counts as a slow response, so that an endpoint that fails fast does not attract requests.
 		b.observeEndpointLatency(endpoint, request.class, max(event.Elapsed, request.objective()))
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -11,7 +11,7 @@
 
 const (
 	modeValidity        = time.Second     // how long an imposed mode lasts; the paper's oc-validity
-	timeoutRest         = 3 * time.Second // the same after a request timed out: the queue needs seconds to drain
+	timeoutModeValidity = 3 * time.Second // the same after a request timed out: the queue needs seconds to drain
 	objectiveShare      = 0.4             // fraction of an objective that the mean latency may take: tails are long
 	queueFactor         = 1.3             // multiple of unloaded latency that H allows: long queues slow endpoints down
 	extraQueueFactor    = 1.5             // plus this / nodesPerEndpoint: the more nodes, the less a node's own counts say
@@ -97,12 +97,12 @@
 		return 2 * minThreshold / b.nodesPerEndpoint
 	}
 	rate := (1-fleetShare)*b.throughputOf(endpoint) + fleetShare*b.meanThroughput
-	uncrowded, present := b.uncrowdedLatency, b.latency.mean
-	if machine := endpoint.machineType; machine.uncrowdedLatency > 0 {
-		uncrowded, present = machine.uncrowdedLatency, machine.latency.mean
+	unloaded, present := b.unloadedLatency, b.latency.mean
+	if machine := endpoint.machineType; machine.unloadedLatency > 0 {
+		unloaded, present = machine.unloadedLatency, machine.latency.mean
 	}
-	allowed := math.Min((queueFactor+extraQueueFactor/b.nodesPerEndpoint)*uncrowded, objectiveShare*b.tightestObjective)
-	busy := uncrowded * b.peakThroughput / b.meanThroughput
+	allowed := math.Min((queueFactor+extraQueueFactor/b.nodesPerEndpoint)*unloaded, objectiveShare*b.tightestObjective)
+	busy := unloaded * b.peakThroughput / b.meanThroughput
 	high := rate * math.Max(busy, allowed*math.Min(maxObjectiveStretch, allowed/present))
 	return math.Max(high, minThreshold/b.nodesPerEndpoint)
 }
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -141,9 +141,9 @@
 			t.Fatalf("request %d goes to endpoint %v in mode %v", i, to, mode)
 		}
 	}
-	node.now += timeoutRest
+	node.now += timeoutModeValidity
 	if node.updateMode(placement, slow) != Normal {
-		t.Error("the mode imposed by the timeout did not lapse after timeoutRest")
+		t.Error("the mode imposed by the timeout did not lapse after timeoutModeValidity")
 	}
 }
 
@@ -153,7 +153,7 @@
 	node := newNode(0, 5, 15)
 	node.learned = true
 	node.latency.mean = 0.1
-	node.uncrowdedLatency = 0.1
+	node.unloadedLatency = 0.1
 	node.tightestObjective = 1
 	node.meanThroughput = 1.5
 	node.peakThroughput = 1.5
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -86,8 +86,8 @@
 	// The value of requests.
 	OverQuotaWeight float64 // value of a request over its tenant's quota, as a fraction of its class's PriorityWeight
 	PriorityByWork  bool    // PriorityWeight is the value per unit of work, not per request
-	Goal            Goal
-	Costs           Costs
+	ResultWeights   ResultWeights
+	ResultPenalties ResultPenalties
 
 	// The endpoint list.
 	EndpointsOnDemand bool // endpoint updates come only after Subscribe or FetchEndpoints
@@ -125,16 +125,16 @@
 	OverloadDuration  time.Duration // how long its load must exceed that for it to collapse
 }
 
-// Goal holds the weights of the parts of the result by which the operators rate a fleet.
-type Goal struct {
+// ResultWeights are the weights of the parts of the result by which the operators rate a fleet.
+type ResultWeights struct {
 	Whole       float64
 	WorstWindow float64
 	WorstClass  float64
 	WorstTenant float64
 }
 
-// Costs are the points deducted from the result, each for one unit of what the field names.
-type Costs struct {
+// ResultPenalties are the points deducted from the result, each for one unit of what the field names.
+type ResultPenalties struct {
 	Connection     float64
 	Handshake      float64
 	CrossZone      float64
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -15,7 +15,7 @@
 	node.latency.mean = 0.1
 	node.meanThroughput = 0.5
 	node.peakThroughput = 0.5
-	node.uncrowdedLatency = 0.1
+	node.unloadedLatency = 0.1
 	node.tightestObjective = 1
 	node.settings.SlowStartDuration = 1e6 * time.Hour
 	endpoint := node.endpointByID(1)
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -140,7 +140,7 @@
 		MaxAttempts: 2, CancelAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: maxRetryAfter, ClientsMarkRetries: true,
 		ConnectTimeout: 150 * time.Millisecond, MinEventInterval: minEventInterval, WeightKnown: true, WeightApproximate: true, OverQuotaWeight: 0.1,
 		LoadReportFields: []string{}, ServiceFamily: "proxy", Tiers: []string{"lab"}, StreamsPerConnection: 1, IdleConnectionTimeout: time.Minute,
-		MaxOpenRequests: 20000, CPUPerSecond: time.Second, Goal: balancer.Goal{Whole: 1}, ResponseSlack: responseSlack,
+		MaxOpenRequests: 20000, CPUPerSecond: time.Second, ResultWeights: balancer.ResultWeights{Whole: 1}, ResponseSlack: responseSlack,
 		PollInterval: 10 * time.Second, DrainGrace: time.Second, SlowStartCapacity: 0.12, SlowStartDuration: 23 * time.Second,
 		OverloadFactor: 4, OverloadDuration: time.Second}
 	if !reflect.DeepEqual(c.Settings, want) {
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// ErrMissing reports a settings object that is JSON null.
-var ErrMissing = errors.New("settings object is null")
+// ErrNull reports a settings object that is JSON null.
+var ErrNull = errors.New("settings object is null")
 
 // Error reports a value that is not among those allowed for its key.
 type Error struct {
--- a/internal/settings/score.go
+++ b/internal/settings/score.go
@@ -2,8 +2,9 @@
 
 import "bankshift/balancer"
 
-// costs is the section "charges": the points that one unit of each cost takes off the operators' result.
-type costs struct {
+// resultPenalties is the section "charges": the points deducted from the operators' result for one unit of what each
+// field names.
+type resultPenalties struct {
 	Connection     float64 `json:"connection"`
 	Handshake      float64 `json:"handshake"`
 	CrossZone      float64 `json:"cross_zone"`
@@ -17,35 +18,35 @@
 	Fleet          float64 `json:"fleet"`
 }
 
-func (c *costs) apply(s *balancer.Settings) {
-	s.Costs = balancer.Costs{
-		Connection:     c.Connection,
-		Handshake:      c.Handshake,
-		CrossZone:      c.CrossZone,
-		Waste:          c.Waste,
-		LateFailure:    c.LateFailure,
-		HealthCheck:    c.HealthCheck,
-		Gossip:         c.Gossip,
-		Migration:      c.Migration,
-		Origin:         c.Origin,
-		EndpointUpdate: c.EndpointUpdate,
-		Fleet:          c.Fleet,
+func (p *resultPenalties) apply(s *balancer.Settings) {
+	s.ResultPenalties = balancer.ResultPenalties{
+		Connection:     p.Connection,
+		Handshake:      p.Handshake,
+		CrossZone:      p.CrossZone,
+		Waste:          p.Waste,
+		LateFailure:    p.LateFailure,
+		HealthCheck:    p.HealthCheck,
+		Gossip:         p.Gossip,
+		Migration:      p.Migration,
+		Origin:         p.Origin,
+		EndpointUpdate: p.EndpointUpdate,
+		Fleet:          p.Fleet,
 	}
 }
 
-// goal is the section "goal": the weights of the parts that make up the operators' result.
-type goal struct {
+// resultWeights is the section "goal": the weights of the parts that make up the operators' result.
+type resultWeights struct {
 	Whole       float64 `json:"whole"`
 	WorstWindow float64 `json:"worst_window"`
 	WorstClass  float64 `json:"worst_class"`
 	WorstTenant float64 `json:"worst_tenant"`
 }
 
-func (g goal) apply(s *balancer.Settings) {
-	s.Goal = balancer.Goal{
-		Whole:       g.Whole,
-		WorstWindow: g.WorstWindow,
-		WorstClass:  g.WorstClass,
-		WorstTenant: g.WorstTenant,
+func (w resultWeights) apply(s *balancer.Settings) {
+	s.ResultWeights = balancer.ResultWeights{
+		Whole:       w.Whole,
+		WorstWindow: w.WorstWindow,
+		WorstClass:  w.WorstClass,
+		WorstTenant: w.WorstTenant,
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -44,12 +44,12 @@
 	WeightKind  string      `json:"weight_kind"`
 	LoadReports loadReports `json:"report"`
 
-	Costs costs `json:"charges"`
-	Goal  goal  `json:"goal"`
+	ResultPenalties resultPenalties `json:"charges"`
+	ResultWeights   resultWeights   `json:"goal"`
 }
 
 // Decode decodes the settings object of a node. It returns an error that wraps an
-// *Error if a value is not among those allowed for its key, and ErrMissing for
+// *Error if a value is not among those allowed for its key, and ErrNull for
 // JSON null.
 func Decode(raw json.RawMessage) (balancer.Settings, error) {
 	var in *settingsObject
@@ -57,7 +57,7 @@
 		return balancer.Settings{}, fmt.Errorf("settings object: %w", err)
 	}
 	if in == nil {
-		return balancer.Settings{}, ErrMissing
+		return balancer.Settings{}, ErrNull
 	}
 	var settings balancer.Settings
 	if err := in.apply(&settings); err != nil {
@@ -90,8 +90,8 @@
 	o.Rules.apply(s)
 	o.Clients.apply(s)
 	o.Endpoints.apply(s)
-	o.Costs.apply(s)
-	o.Goal.apply(s)
+	o.ResultPenalties.apply(s)
+	o.ResultWeights.apply(s)
 	return nil
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -114,7 +114,7 @@
 		WeightDynamic:         true,
 		LoadReportSource:      balancer.LoadReportsByResponse,
 		LoadReportFields:      []string{"active", "waiting"},
-		Costs: balancer.Costs{
+		ResultPenalties: balancer.ResultPenalties{
 			Connection:     1,
 			Handshake:      2,
 			CrossZone:      3,
@@ -127,7 +127,7 @@
 			EndpointUpdate: 10,
 			Fleet:          11,
 		},
-		Goal: balancer.Goal{Whole: 0.6, WorstWindow: 0.4, WorstClass: 0.3, WorstTenant: 0.2},
+		ResultWeights: balancer.ResultWeights{Whole: 0.6, WorstWindow: 0.4, WorstClass: 0.3, WorstTenant: 0.2},
 	}
 	if got := decode(t, allKeys); !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
@@ -265,8 +265,8 @@
 // TestNullIsMissing guards against JSON null that is accepted as settings with all fields zero: encoding/json decodes
 // null without an error and leaves a struct unchanged.
 func TestNullIsMissing(t *testing.T) {
-	if _, err := Decode(json.RawMessage(`null`)); !errors.Is(err, ErrMissing) {
-		t.Errorf("error %v, want ErrMissing", err)
+	if _, err := Decode(json.RawMessage(`null`)); !errors.Is(err, ErrNull) {
+		t.Errorf("error %v, want ErrNull", err)
 	}
 }
 
--- a/internal/simwire/start_test.go
+++ b/internal/simwire/start_test.go
@@ -44,8 +44,8 @@
 	if s.MaxOpenRequests != 9 || s.IdleConnectionTimeout != 5 || s.StreamsPerConnection != 100 {
 		t.Errorf("connections: %+v", s)
 	}
-	if s.Costs != (balancer.Costs{CrossZone: 0.02, EndpointUpdate: 0.5}) || s.Goal != (balancer.Goal{Whole: 0.6, WorstWindow: 0.4}) {
-		t.Errorf("costs and goal: %+v", s)
+	if s.ResultPenalties != (balancer.ResultPenalties{CrossZone: 0.02, EndpointUpdate: 0.5}) || s.ResultWeights != (balancer.ResultWeights{Whole: 0.6, WorstWindow: 0.4}) {
+		t.Errorf("result penalties and weights: %+v", s)
 	}
 	c := s.Classes[0]
 	if c.Idempotency != balancer.IdempotentByKey || c.DeduplicationScope != balancer.DeduplicatedByCell ||
