--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -17,10 +17,10 @@
 // that receive the same bytes.
 //
 // The handling of connections in package upstream is reimplemented in pool.go
-// and attempt.go: which connection is taken, how long it rests after a
+// and attempt.go: which connection is taken, how soon it is reused after a
 // response, when it expires, when one is dialled, evicted or closed, and the
-// checks before a request's first byte. The rest time and the part of the idle
-// timeout come from package upstream; its unexported constants are copied.
+// checks before a request's first byte. MinReuseDelay and IdleTimeoutFraction
+// come from package upstream; its unexported constants are copied.
 //
 // Repeated runs of a scenario give the same result, except for its cost.
 package hollow
--- a/internal/lab/hollow/pool.go
+++ b/internal/lab/hollow/pool.go
@@ -47,7 +47,7 @@
 func newPool(n *hollowNode, limit int) pool {
 	p := pool{node: n, limit: limit, backends: map[balancer.EndpointID]*backend{}, maxIdle: defaultMaxIdle}
 	if timeout := n.cfg.Settings.IdleConnectionTimeout; timeout > 0 {
-		p.maxIdle = time.Duration(upstream.IdlePart * float64(timeout))
+		p.maxIdle = time.Duration(upstream.IdleTimeoutFraction * float64(timeout))
 	}
 	return p
 }
@@ -122,7 +122,7 @@
 	now := p.node.sim.now
 	for i := len(b.idle) - 1; i >= 0; i-- {
 		c := b.idle[i]
-		if now-c.idleSince < upstream.RestTime {
+		if now-c.idleSince < upstream.MinReuseDelay {
 			continue
 		}
 		b.idle = slices.Delete(b.idle, i, i+1)
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -105,7 +105,7 @@
 		cancelRequests: func() {},
 	}
 	conn.readAheadStopped.L = &conn.mu
-	if !sockets.Quiet(c) {
+	if !sockets.IsIdle(c) {
 		conn.queuedSince = queuedSince
 	}
 	return conn
@@ -187,7 +187,7 @@
 func (c *clientConn) drain() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.receivedSinceIdle || c.readingAhead || !sockets.Quiet(c.Conn) {
+	if c.receivedSinceIdle || c.readingAhead || !sockets.IsIdle(c.Conn) {
 		return c.draining
 	}
 	c.draining = true
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -27,7 +27,7 @@
 	t.Run("unread", func(t *testing.T) {
 		c, client := connectionPair(t)
 		io.WriteString(client, "GET")
-		waitUntil(t, "the bytes to arrive", func() bool { return !sockets.Quiet(c.Conn) })
+		waitUntil(t, "the bytes to arrive", func() bool { return !sockets.IsIdle(c.Conn) })
 		if c.drain() {
 			t.Error("drained with a request unread")
 		}
--- a/internal/node/disconnect.go
+++ b/internal/node/disconnect.go
@@ -20,8 +20,8 @@
 // may also follow further bytes from the client, which are being read ahead.
 func (c *clientConn) clientDisconnected(ctx context.Context) bool {
 	for waited := time.Duration(0); ; waited += disconnectPollInterval {
-		left, unread := c.checkDisconnected()
-		if left {
+		disconnected, unread := c.checkDisconnected()
+		if disconnected {
 			return true
 		}
 		if !unread || waited >= maxDisconnectWait || !sockets.Sleep(ctx, disconnectPollInterval) {
@@ -34,14 +34,14 @@
 // the next read would return the end, or the kernel reports the end behind
 // unread bytes.
 func (c *clientConn) clientDisconnectedNow() bool {
-	left, _ := c.checkDisconnected()
-	return left
+	disconnected, _ := c.checkDisconnected()
+	return disconnected
 }
 
 // checkDisconnected reports whether the client has ended its connection, and
 // whether there are unread bytes. It asks the kernel for the connection's state
 // only if there are: otherwise a read would find the end just as well.
-func (c *clientConn) checkDisconnected() (left, unread bool) {
+func (c *clientConn) checkDisconnected() (disconnected, unread bool) {
 	n, err := sockets.Peek(c.Conn)
 	unread = n > 0
 	return sockets.Closed(n, err) || unread && sockets.PeerClosed(c.Conn), unread
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -19,10 +19,10 @@
 // still begin, by the operators' rules.
 const disconnectLimit = 100 * time.Millisecond
 
-// TestClientLeavesAfterSendingMore guards against missing the disconnect of a
-// client that has sent more after its open request. The end of the connection
-// comes after all those bytes in the socket.
-func TestClientLeavesAfterSendingMore(t *testing.T) {
+// TestClientDisconnectsAfterSendingMore guards against missing the disconnect
+// of a client that has sent more after its open request. The end of the
+// connection comes after all those bytes in the socket.
+func TestClientDisconnectsAfterSendingMore(t *testing.T) {
 	for name, rest := range map[string]string{"a byte": "G", "as much as a buffer": pipelinedGets(30), "more than a buffer": pipelinedGets(100)} {
 		for _, cancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %v", name, cancel), func(t *testing.T) {
@@ -39,7 +39,7 @@
 					return receive(t, open, "the loop") == 0 && n.frontend.connections.openConnections() == 0
 				})
 				if len(got) > 0 {
-					t.Errorf("request %q was sent after its client had left", <-got)
+					t.Errorf("request %q was sent after its client had disconnected", <-got)
 				}
 			})
 		}
@@ -67,11 +67,11 @@
 	waitUntil(t, "the request to be removed", func() bool { return n.openRequests(t) == 0 })
 }
 
-// TestClientLeavesWhileDialing guards against sending a request whose client
-// has disconnected while the connection to the backend was being opened. Such
-// an attempt is canceled even if the settings do not allow canceling work, and
-// even if the event loop is busy.
-func TestClientLeavesWhileDialing(t *testing.T) {
+// TestClientDisconnectsWhileDialing guards against sending a request whose
+// client has disconnected while the connection to the backend was being opened.
+// Such an attempt is canceled even if the settings do not allow canceling work,
+// and even if the event loop is busy.
+func TestClientDisconnectsWhileDialing(t *testing.T) {
 	for _, busy := range []bool{false, true} {
 		t.Run(fmt.Sprintf("busy %v", busy), func(t *testing.T) {
 			address, got := startRecordingBackend(t)
@@ -96,17 +96,17 @@
 	}
 }
 
-// TestClientLeavesWhileLoopIsBusy guards against sending a request whose client
-// has disconnected before the event loop learns of it. The client disconnects
-// while its request, or the event that would have it sent, waits in the loop's
-// queue.
-func TestClientLeavesWhileLoopIsBusy(t *testing.T) {
-	t.Run("in the event queue", func(t *testing.T) { testClientLeavesInEventQueue(t, "") })
-	t.Run("in the event queue, with a byte more", func(t *testing.T) { testClientLeavesInEventQueue(t, "G") })
-	t.Run("in the event queue, with much more", func(t *testing.T) { testClientLeavesInEventQueue(t, pipelinedGets(100)) })
+// TestClientDisconnectsWhileLoopIsBusy guards against sending a request whose
+// client has disconnected before the event loop learns of it. The client
+// disconnects while its request, or the event that would have it sent, waits in
+// the loop's queue.
+func TestClientDisconnectsWhileLoopIsBusy(t *testing.T) {
+	t.Run("in the event queue", func(t *testing.T) { testClientDisconnectsInEventQueue(t, "") })
+	t.Run("in the event queue, with a byte more", func(t *testing.T) { testClientDisconnectsInEventQueue(t, "G") })
+	t.Run("in the event queue, with much more", func(t *testing.T) { testClientDisconnectsInEventQueue(t, pipelinedGets(100)) })
 	t.Run("in the event queue, closing its sending side", testClientClosesSendingInEventQueue)
-	t.Run("with a further attempt due", testClientLeavesBeforeFurtherAttempt)
-	t.Run("held by a health check", testClientLeavesDuringHealthCheck)
+	t.Run("with a further attempt due", testClientDisconnectsBeforeFurtherAttempt)
+	t.Run("held by a health check", testClientDisconnectsDuringHealthCheck)
 }
 
 // disableBalancerTimers changes the settings so that no timer of the balancer
@@ -124,9 +124,9 @@
 	release()
 }
 
-// testClientLeavesInEventQueue checks a client that sends more after its
+// testClientDisconnectsInEventQueue checks a client that sends more after its
 // request and disconnects while the request is in the event queue.
-func testClientLeavesInEventQueue(t *testing.T, more string) {
+func testClientDisconnectsInEventQueue(t *testing.T, more string) {
 	address, got := startRecordingBackend(t)
 	n := startNodeWith(t, disableBalancerTimers, address)
 	release := n.blockLoop(t)
@@ -156,10 +156,10 @@
 	n.mustNotSend(t, got, "q")
 }
 
-// testClientLeavesBeforeFurtherAttempt checks a client that disconnects while
-// the end of the first attempt, which would trigger a further one, is in the
-// event queue.
-func testClientLeavesBeforeFurtherAttempt(t *testing.T) {
+// testClientDisconnectsBeforeFurtherAttempt checks a client that disconnects
+// while the end of the first attempt, which would trigger a further one, is in
+// the event queue.
+func testClientDisconnectsBeforeFurtherAttempt(t *testing.T) {
 	got := make(chan string, 10)
 	respond := make(chan bool)
 	serve := func(_ int, c net.Conn, r *bufio.Reader) {
@@ -191,7 +191,7 @@
 	n.mustNotSend(t, got, "q")
 }
 
-func testClientLeavesDuringHealthCheck(t *testing.T) {
+func testClientDisconnectsDuringHealthCheck(t *testing.T) {
 	address, got := startRecordingBackend(t)
 	n := startNodeWith(t, func(s *balancer.Settings) {
 		disableBalancerTimers(s) // the health check lasts until the test ends it
@@ -210,15 +210,15 @@
 	n.handle(balancer.HealthCheckEnded{Endpoint: id, Report: &balancer.LoadReport{HasInFlight: true}})
 	n.mustHaveNoOpenRequests(t, release)
 	if len(got) > 0 {
-		t.Errorf("request %q is sent though its client has left", <-got)
+		t.Errorf("request %q was sent though its client had disconnected", <-got)
 	}
 }
 
-// TestClientLeftBeforeItWasRead guards against sending a request whose client
-// disconnected before net/http began to watch for that. The end of the
+// TestClientDisconnectedBeforeItWasRead guards against sending a request whose
+// client disconnected before net/http began to watch for that. The end of the
 // connection follows the request in the socket.
-func TestClientLeftBeforeItWasRead(t *testing.T) {
-	for name, leave := range map[string]func(c *net.TCPConn){
+func TestClientDisconnectedBeforeItWasRead(t *testing.T) {
+	for name, disconnect := range map[string]func(c *net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.Close() },
 		"reset":  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
@@ -226,8 +226,8 @@
 			address, got := startRecordingBackend(t)
 			n := startNode(t, address)
 			c, client := connectionPair(t)
-			leave(client.(*net.TCPConn))
-			waitUntil(t, "the end to arrive", func() bool { return !sockets.Quiet(c.Conn) })
+			disconnect(client.(*net.TCPConn))
+			waitUntil(t, "the end to arrive", func() bool { return !sockets.IsIdle(c.Conn) })
 			req := &request{
 				arrival:  balancer.RequestArrived{ID: "q", Class: "saldo"},
 				upstream: getRequest("/api/x"),
@@ -235,17 +235,17 @@
 				response: make(chan response, 1),
 			}
 			if resp, ok := n.frontend.awaitResponse(context.WithValue(t.Context(), clientConnKey{}, c), req); ok {
-				t.Errorf("response %d to a client that has left", resp.status)
+				t.Errorf("response %d to a client that has disconnected", resp.status)
 			}
 			n.mustNotSend(t, got, "q")
 		})
 	}
 }
 
-// TestClientLeftBeforeAccept guards against sending a request whose client has
-// disconnected before the node accepts its connection. The client has sent the
-// request, and perhaps more after it.
-func TestClientLeftBeforeAccept(t *testing.T) {
+// TestClientDisconnectedBeforeAccept guards against sending a request whose
+// client has disconnected before the node accepts its connection. The client has
+// sent the request, and perhaps more after it.
+func TestClientDisconnectedBeforeAccept(t *testing.T) {
 	for name, rest := range map[string]string{"with one request": "", "with a byte more": "G", "with much more": pipelinedGets(30), "with more than a buffer": pipelinedGets(100)} {
 		t.Run(name, func(t *testing.T) {
 			address, got := startRecordingBackend(t)
@@ -272,9 +272,9 @@
 	}
 }
 
-// TestClientLeavesWithinBody guards against sending a request that has not been
-// received to its end.
-func TestClientLeavesWithinBody(t *testing.T) {
+// TestClientDisconnectsWithinBody guards against sending a request that has not
+// been received to its end.
+func TestClientDisconnectsWithinBody(t *testing.T) {
 	address, got := startRecordingBackend(t)
 	n := startNode(t, address)
 	waitUntil(t, "the test's first connection to close", func() bool { return n.frontend.connections.openConnections() == 0 })
@@ -289,7 +289,7 @@
 // client disconnects while a connection to the backend is being opened, if no
 // reader has seen the disconnect yet.
 func TestDisconnectDetectedBeforeSend(t *testing.T) {
-	for name, leave := range map[string]func(c testClient){
+	for name, disconnect := range map[string]func(c testClient){
 		"closed": func(c testClient) { c.Close() },
 		"reset":  func(c testClient) { c.SetLinger(0); c.Close() },
 	} {
@@ -302,7 +302,7 @@
 			c := n.dial(t)
 			c.sendGet(t, "saldo", "q", "60")
 			receive(t, begun, "the connection to begin")
-			leave(c)
+			disconnect(c)
 			delayVisibly()
 			close(up)
 			n.mustNotSend(t, got, "q")
@@ -317,15 +317,15 @@
 		t.Run(name, func(t *testing.T) {
 			c, client := connectionPair(t)
 			io.WriteString(client, pipelinedGets(30))
-			waitUntil(t, "the bytes to arrive", func() bool { return !sockets.Quiet(c.Conn) })
+			waitUntil(t, "the bytes to arrive", func() bool { return !sockets.IsIdle(c.Conn) })
 			if c.clientDisconnectedNow() {
 				t.Fatal("reported as disconnected, though the connection is open")
 			}
 			client.(*net.TCPConn).SetLinger(linger)
 			client.Close()
-			leftAt := time.Now()
+			disconnectedAt := time.Now()
 			for !c.clientDisconnectedNow() {
-				if time.Since(leftAt) > disconnectLimit {
+				if time.Since(disconnectedAt) > disconnectLimit {
 					t.Fatalf("not detected %v after the disconnect", disconnectLimit)
 				}
 				time.Sleep(time.Millisecond)
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -185,8 +185,8 @@
 	if r.status != "" {
 		fullList = append(fullList, entry(r.status, r.since))
 	}
-	// With this rest time each request needs a new connection.
-	n := startNodeWithRestTime(t, time.Hour, func(*balancer.Settings) {}, address)
+	// With this MinReuseDelay each request needs a new connection.
+	n := startNodeWithReuseDelay(t, time.Hour, func(*balancer.Settings) {}, address)
 	begun, up := blockDials(n.dials)
 	send := func(id string) chan clientResponse {
 		response := make(chan clientResponse, 1)
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -126,7 +126,7 @@
 		if c.clientDisconnected(ctx) {
 			return response{}, false
 		}
-		req.upstream.ClientLeft = c.clientDisconnectedNow
+		req.upstream.ClientDisconnected = c.clientDisconnectedNow
 	}
 	req.ctx, req.cancel = context.WithCancel(ctx)
 	defer req.cancel()
--- a/internal/node/parse_test.go
+++ b/internal/node/parse_test.go
@@ -113,7 +113,7 @@
 func TestRequestsReadInPieces(t *testing.T) {
 	backend, executions := startCountingBackend(t)
 	// If attempts must not be canceled, none is given up when this machine is briefly slow.
-	n := startNodeWithRestTime(t, 0, func(s *balancer.Settings) { s.CancelAllowed = false }, backend)
+	n := startNodeWithReuseDelay(t, 0, func(s *balancer.Settings) { s.CancelAllowed = false }, backend)
 	for name, text := range map[string]string{
 		"plain":        plainRequests,
 		"unusual":      unusualRequests,
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -59,11 +59,12 @@
 	return startNodeWithPool(t, ln, change, func(*upstream.Config) {}, backends...)
 }
 
-// startNodeWithRestTime is startNode with changed settings and a rest time: a
-// connection to a backend carries no request for this long after a response.
-func startNodeWithRestTime(t *testing.T, rest time.Duration, change func(*balancer.Settings), backends ...string) *testNode {
+// startNodeWithReuseDelay is startNode with changed settings and a
+// MinReuseDelay: a connection to a backend carries no request for this long after
+// a response.
+func startNodeWithReuseDelay(t *testing.T, delay time.Duration, change func(*balancer.Settings), backends ...string) *testNode {
 	t.Helper()
-	return startNodeWithPool(t, newListener(t), func(c *Config) { change(&c.Settings) }, func(c *upstream.Config) { c.RestTime = rest }, backends...)
+	return startNodeWithPool(t, newListener(t), func(c *Config) { change(&c.Settings) }, func(c *upstream.Config) { c.MinReuseDelay = delay }, backends...)
 }
 
 // startNodeWithPool is startNode with a listener, a changed configuration of the node
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// Quiet reports whether c is open with nothing to read. Another goroutine may
+// IsIdle reports whether c is open with nothing to read. Another goroutine may
 // be blocked in a read of c meanwhile.
-func Quiet(c net.Conn) bool {
+func IsIdle(c net.Conn) bool {
 	_, err := Peek(c)
 	return errors.Is(err, syscall.EAGAIN)
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -60,7 +60,7 @@
 	message, ok := c.prepare(ctx, startCtx, deadline, r, encoded)
 	if !ok {
 		c.finish(stopInterrupt())
-		return notSent(id, ErrCalledOff)
+		return notSent(id, ErrNoLongerSendable)
 	}
 	result, reusable := c.exchange(ctx, r.Method, message)
 	// If the interrupt has started, it could break the next exchange on c, so c is
@@ -101,7 +101,7 @@
 		return false
 	case !c.acceptsRequests():
 		return false
-	case r.ClientLeft != nil && r.ClientLeft():
+	case r.ClientDisconnected != nil && r.ClientDisconnected():
 		return false
 	}
 	return true
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -197,7 +197,8 @@
 
 // timeoutError returns the reason why w got no connection within ConnectTimeout. A
 // missing route to the endpoint counts against the endpoint only if a connection to
-// any endpoint was established while w waited; otherwise the error wraps ErrCutOff.
+// any endpoint was established while w waited; otherwise the error wraps
+// ErrNoEndpointReachable.
 func (p *Pool) timeoutError(b *backend, w *waiter) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -205,7 +206,7 @@
 		return fmt.Errorf("dial %s: %w", b.address, os.ErrDeadlineExceeded)
 	}
 	if sockets.Unreachable(w.lastFailure) && p.lastConnectedAt.Before(w.startedAt) {
-		return fmt.Errorf("%w: %w", ErrCutOff, w.lastFailure)
+		return fmt.Errorf("%w: %w", ErrNoEndpointReachable, w.lastFailure)
 	}
 	return w.lastFailure
 }
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -12,11 +12,11 @@
 
 // Reasons why an attempt failed, wrapped by an AttemptError.
 var (
-	ErrNotListed          = errors.New("endpoint is not in the endpoint list")
-	ErrTooManyConnections = errors.New("connection limit of the pool reached")
-	ErrCutOff             = errors.New("no endpoint can be reached from this machine")
-	ErrCalledOff          = errors.New("request must no longer be sent") // by the checks of conn.mayStart
-	ErrBadResponse        = errors.New("bad response")                   // malformed or too long
+	ErrNotListed           = errors.New("endpoint is not in the endpoint list")
+	ErrTooManyConnections  = errors.New("connection limit of the pool reached")
+	ErrNoEndpointReachable = errors.New("no endpoint can be reached from this machine")
+	ErrNoLongerSendable    = errors.New("request must no longer be sent") // by the checks of conn.mayStart
+	ErrBadResponse         = errors.New("bad response")                   // malformed or too long
 
 	errNoDeadline = errors.New("context of the attempt has no deadline")
 )
@@ -79,7 +79,7 @@
 	switch {
 	case ctx.Err() != nil:
 		return balancer.NotSent
-	case errors.Is(err, ErrNotListed), errors.Is(err, ErrTooManyConnections), errors.Is(err, ErrCutOff):
+	case errors.Is(err, ErrNotListed), errors.Is(err, ErrTooManyConnections), errors.Is(err, ErrNoEndpointReachable):
 		return balancer.NotSent
 	case sockets.LocalFailure(err):
 		return balancer.NotSent
--- a/internal/upstream/errors_test.go
+++ b/internal/upstream/errors_test.go
@@ -61,7 +61,7 @@
 		{"not listed", "", func(p *Pool) { p.Remove(endpoint) }, AttemptError{Step: StepDial, Err: ErrNotListed}},
 		{"too many", "", func(p *Pool) { p.config.MaxConnections = 0 }, AttemptError{Step: StepDial, Err: ErrTooManyConnections}},
 		{"refused", refusingAddress(t), nil, AttemptError{Step: StepDial, Err: syscall.ECONNREFUSED}},
-		{"draining", respondWith(""), func(p *Pool) { p.backends[endpoint].draining = true }, AttemptError{Step: StepPrepare, Err: ErrCalledOff}},
+		{"draining", respondWith(""), func(p *Pool) { p.backends[endpoint].draining = true }, AttemptError{Step: StepPrepare, Err: ErrNoLongerSendable}},
 		{"no response", respondWith(""), nil, AttemptError{Step: StepRead, MayHaveRun: true, Err: io.EOF}},
 		{"no HTTP", respondWith("hello there\r\n\r\n"), nil, AttemptError{Step: StepRead, MayHaveRun: true, Err: ErrBadResponse}},
 	} {
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -107,11 +107,11 @@
 	return req
 }
 
-// newTestPool returns a pool with an endpoint at an address. Its RestTime is 0, so
-// that a connection can be reused at once.
+// newTestPool returns a pool with an endpoint at an address. Its MinReuseDelay is 0,
+// so that a connection can be reused at once.
 func newTestPool(address string) *Pool {
 	c := ConfigFor(balancer.Settings{ConnectTimeout: testTimeout, IdleConnectionTimeout: time.Hour}, 100)
-	c.RestTime = 0
+	c.MinReuseDelay = 0
 	p := NewPool(c)
 	p.Set(endpoint, address, 0, false)
 	return p
--- a/internal/upstream/pause_test.go
+++ b/internal/upstream/pause_test.go
@@ -19,14 +19,14 @@
 	const pauseTime = 400 * time.Millisecond
 	const deadlineSlack = 150 * time.Millisecond // set by the operators: X-Deadline may exceed the time left by this
 	for name, test := range map[string]struct {
-		duringPause func(p *Pool) (clientLeft bool)
+		duringPause func(p *Pool) (clientDisconnected bool)
 		startBy     time.Duration
 		want        balancer.Outcome
 	}{
-		"time passes":          {func(*Pool) bool { return false }, testTimeout, balancer.OK},
-		"the client leaves":    {func(*Pool) bool { return true }, testTimeout, balancer.NotSent},
-		"the endpoint drains":  {func(p *Pool) bool { p.Set(endpoint, p.backends[endpoint].address, 0, true); return false }, testTimeout, balancer.NotSent},
-		"the start is overdue": {func(*Pool) bool { return false }, pauseTime, balancer.NotSent},
+		"time passes":            {func(*Pool) bool { return false }, testTimeout, balancer.OK},
+		"the client disconnects": {func(*Pool) bool { return true }, testTimeout, balancer.NotSent},
+		"the endpoint drains":    {func(p *Pool) bool { p.Set(endpoint, p.backends[endpoint].address, 0, true); return false }, testTimeout, balancer.NotSent},
+		"the start is overdue":   {func(*Pool) bool { return false }, pauseTime, balancer.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			deadlines := make(chan time.Duration, 1)
@@ -42,15 +42,15 @@
 			startCtx := unendingContext{context.Background(), time.Now().Add(test.startBy)}
 			r := newRequest()
 			calls := 0
-			clientLeft := false
-			r.ClientLeft = func() bool {
+			clientDisconnected := false
+			r.ClientDisconnected = func() bool {
 				calls++
-				leftBefore := clientLeft
+				disconnectedBefore := clientDisconnected
 				if calls == 1 {
-					clientLeft = test.duringPause(p)
+					clientDisconnected = test.duringPause(p)
 					time.Sleep(pauseTime)
 				}
-				return leftBefore
+				return disconnectedBefore
 			}
 			if got := p.Attempt(ctx, startCtx, endpoint, r); got.Outcome != test.want {
 				t.Errorf("outcome %v (%v), want %v", got.Outcome, got.Err, test.want)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	// IdlePart is the fraction of the idle timeout in the settings after which the
-	// pool closes an idle connection, so that the endpoint never closes it first.
-	IdlePart = 0.75
+	// IdleTimeoutFraction is the fraction of the idle timeout in the settings after
+	// which the pool closes an idle connection, so that the endpoint never closes it
+	// first.
+	IdleTimeoutFraction = 0.75
 
-	// RestTime is how long a connection must stay idle after a response before it
-	// carries the next request. If an endpoint sends stray bytes or a duplicate of
+	// MinReuseDelay is how long a connection must stay idle after a response before
+	// it carries the next request. If an endpoint sends stray bytes or a duplicate of
 	// the response, or closes the connection, right after a response, that shows
 	// within this time and can neither answer the next request nor break it.
-	RestTime = 25 * time.Millisecond
+	MinReuseDelay = 25 * time.Millisecond
 
 	defaultMaxIdle = time.Minute // if the settings have no idle timeout
 
@@ -38,7 +39,7 @@
 	Dialer         net.Dialer    // dials connections; ConnectTimeout takes the place of its Timeout
 	ConnectTimeout time.Duration // how long an attempt waits for a connection; 0: until its own deadline
 	MaxIdle        time.Duration // how long a connection may be idle before it is closed
-	RestTime       time.Duration // how long a connection must be idle after a response before its next request
+	MinReuseDelay  time.Duration // how long a connection must be idle after a response before its next request
 	MaxConnections int           // limit of connections that are idle, in use or being dialled
 }
 
@@ -48,8 +49,8 @@
 	c := Config{
 		Dialer:         net.Dialer{KeepAlive: -1},
 		ConnectTimeout: s.ConnectTimeout,
-		MaxIdle:        time.Duration(IdlePart * float64(s.IdleConnectionTimeout)),
-		RestTime:       RestTime,
+		MaxIdle:        time.Duration(IdleTimeoutFraction * float64(s.IdleConnectionTimeout)),
+		MinReuseDelay:  MinReuseDelay,
 		MaxConnections: maxConnections,
 	}
 	if s.IdleConnectionTimeout <= 0 {
@@ -219,19 +220,19 @@
 }
 
 // takeIdle takes the most recently used connection of b that has been idle for
-// RestTime, or returns nil if there is none. It closes the connections that it finds
-// unusable on the way. The caller holds p.mu.
+// MinReuseDelay, or returns nil if there is none. It closes the connections that it
+// finds unusable on the way. The caller holds p.mu.
 func (p *Pool) takeIdle(b *backend) *conn {
 	now := time.Now()
 	for i := len(b.idle) - 1; i >= 0; i-- {
 		c := b.idle[i]
-		if c.idleFor(now) < p.config.RestTime {
+		if c.idleFor(now) < p.config.MinReuseDelay {
 			continue
 		}
 		b.idle = slices.Delete(b.idle, i, i+1)
 		// On a connection that the endpoint has closed, or on which it sent
 		// unsolicited data, a request would fail as Reset and might have run.
-		if c.idleFor(now) < p.config.MaxIdle && sockets.Quiet(c.Conn) {
+		if c.idleFor(now) < p.config.MaxIdle && sockets.IsIdle(c.Conn) {
 			return c
 		}
 		p.closeConn(c)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,20 +13,20 @@
 	"bankshift/internal/sockets"
 )
 
-// TestConnectionRestsAfterResponse guards against reusing a connection before it has
-// been idle for RestTime. Whatever an endpoint sends right after a response could
+// TestMinReuseDelay guards against reusing a connection before it has
+// been idle for MinReuseDelay. Whatever an endpoint sends right after a response could
 // otherwise affect the next request.
-func TestConnectionRestsAfterResponse(t *testing.T) {
+func TestMinReuseDelay(t *testing.T) {
 	p := newTestPool(startNumberingEndpoint(t, nil))
-	p.config.RestTime = time.Hour
+	p.config.MinReuseDelay = time.Hour
 	for _, want := range []string{"0", "1"} {
 		if got := attempt(t, p, testTimeout); string(got.Body) != want {
 			t.Errorf("connection %s answers, want %s", got.Body, want)
 		}
 	}
-	p.config.RestTime = 0
+	p.config.MinReuseDelay = 0
 	if got := attempt(t, p, testTimeout); string(got.Body) != "1" {
-		t.Errorf("connection %s answers, want 1, the most recently used of those idle for RestTime", got.Body)
+		t.Errorf("connection %s answers, want 1, the most recently used of those idle for MinReuseDelay", got.Body)
 	}
 }
 
@@ -49,10 +49,10 @@
 func TestDuplicateResponse(t *testing.T) {
 	received := make(chan int, 10)
 	p := newTestPool(startNumberingEndpoint(t, received))
-	p.config.RestTime = ConfigFor(balancer.Settings{}, 1).RestTime // as in production
+	p.config.MinReuseDelay = ConfigFor(balancer.Settings{}, 1).MinReuseDelay // as in production
 	const latestDuplicate = 5 * time.Millisecond
-	if p.config.RestTime < 4*latestDuplicate {
-		t.Errorf("RestTime is %v, want at least 4 times %v, by which duplicates may be late", p.config.RestTime, latestDuplicate)
+	if p.config.MinReuseDelay < 4*latestDuplicate {
+		t.Errorf("MinReuseDelay is %v, want at least 4 times %v, by which duplicates may be late", p.config.MinReuseDelay, latestDuplicate)
 	}
 	if got := attempt(t, p, testTimeout); got.Outcome != balancer.OK {
 		t.Fatalf("outcome %d, want OK", got.Outcome)
@@ -89,7 +89,7 @@
 	<-closed
 	// The endpoint has closed the connection; wait until the close shows on this side.
 	backend := p.backends[endpoint]
-	for until := time.Now().Add(testTimeout); len(backend.idle) > 0 && sockets.Quiet(backend.idle[0].Conn); {
+	for until := time.Now().Add(testTimeout); len(backend.idle) > 0 && sockets.IsIdle(backend.idle[0].Conn); {
 		if time.Now().After(until) {
 			t.Fatal("timed out waiting for the close of the idle connection to show")
 		}
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -24,12 +24,12 @@
 // Request is a client's request in the form in which it is sent to endpoints. All
 // its attempts share it, so it must not be changed once the first has begun.
 type Request struct {
-	Method     string
-	URL        *url.URL
-	Host       string
-	Header     http.Header // end-to-end headers only
-	Body       []byte
-	ClientLeft func() bool // reports whether the client has disconnected; nil if that is not known
+	Method             string
+	URL                *url.URL
+	Host               string
+	Header             http.Header // end-to-end headers only
+	Body               []byte
+	ClientDisconnected func() bool // reports whether the client has disconnected; nil if that is not known
 
 	mayBeSent atomic.Bool
 }
