--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -18,7 +18,12 @@
 	firstByteTimeout    = 2 * time.Second         // for a new connection to start a request
 	requestReadTimeout  = 2500 * time.Millisecond // for a whole request, from its first byte
 	firstRequestTimeout = 2800 * time.Millisecond // for the whole first request, from the accept
-	idleTimeout         = 2800 * time.Millisecond // between requests, even if net/http has buffered part of the next
+
+	// idleTimeout is for a connection between requests. The start of the next request
+	// may already be in net/http's buffer. As it has been read before, it starts no
+	// requestReadTimeout, so until net/http begins to parse that request, idleTimeout
+	// is what ends it within the 3 s that stalled requests are allowed.
+	idleTimeout = 2800 * time.Millisecond
 )
 
 // frontend is the HTTP server for clients: it parses their requests, passes them
