--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -15,7 +15,7 @@
 // clientConn is a client's connection as net/http reads it. In addition to
 // net.Conn it
 //   - detects that a client has disconnected even if it had sent more after
-//     its open request, by reading ahead (readahead.go, departure.go);
+//     its open request, by reading ahead (readahead.go, disconnect.go);
 //   - limits the time for receiving a request, from its first byte on;
 //   - can be drained, that is closed without cutting off a request that has
 //     begun to arrive.
@@ -105,7 +105,7 @@
 		cancelRequests: func() {},
 	}
 	conn.readAheadStopped.L = &conn.mu
-	if !sockets.Quiet(c) {
+	if !sockets.IsIdle(c) {
 		conn.queuedSince = queuedSince
 	}
 	return conn
@@ -187,7 +187,7 @@
 func (c *clientConn) drain() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.receivedSinceIdle || c.readingAhead || !sockets.Quiet(c.Conn) {
+	if c.receivedSinceIdle || c.readingAhead || !sockets.IsIdle(c.Conn) {
 		return c.draining
 	}
 	c.draining = true
