--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -262,9 +262,9 @@
 	}
 }
 
-// TestNullIsMissing guards against JSON null that is accepted as settings with all fields zero: encoding/json decodes
+// TestNullIsRejected guards against JSON null that is accepted as settings with all fields zero: encoding/json decodes
 // null without an error and leaves a struct unchanged.
-func TestNullIsMissing(t *testing.T) {
+func TestNullIsRejected(t *testing.T) {
 	if _, err := Decode(json.RawMessage(`null`)); !errors.Is(err, ErrNull) {
 		t.Errorf("error %v, want ErrNull", err)
 	}
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -176,14 +176,14 @@
 func TestStartContextEndsBeforeFirstByte(t *testing.T) {
 	address, received := startRecordingEndpoint(t)
 	p := newTestPool(address)
-	startCtx, callOff := context.WithCancel(context.Background())
+	startCtx, endStart := context.WithCancel(context.Background())
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if got := p.Attempt(ctx, startCtx, endpoint, newRequest()); got.Outcome != balancer.OK {
 		t.Fatalf("outcome %d, want OK", got.Outcome)
 	}
 	receive(t, received, "the first request")
-	callOff() // the next attempt takes the idle connection, so no dial notices the end of startCtx
+	endStart() // the next attempt takes the idle connection, so no dial notices the end of startCtx
 	if got := p.Attempt(ctx, startCtx, endpoint, newRequest()); got.Outcome != balancer.NotSent {
 		t.Errorf("outcome %d, want NotSent", got.Outcome)
 	}
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -187,8 +187,8 @@
 // established in the meantime.
 func TestPersistentDialError(t *testing.T) {
 	for _, errno := range transientDialErrors {
-		for _, otherComesUp := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%v, other endpoint reachable: %v", errno, otherComesUp), func(t *testing.T) {
+		for _, otherReachable := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%v, other endpoint reachable: %v", errno, otherReachable), func(t *testing.T) {
 				t.Parallel()
 				address, _ := startRecordingEndpoint(t)
 				otherAddress, _ := startRecordingEndpoint(t)
@@ -196,7 +196,7 @@
 				p.Set(otherEndpoint, otherAddress, 0, false)
 				p.config.ConnectTimeout = 200 * time.Millisecond
 				setDialHook(p, func(_ context.Context, dialed string) error {
-					if dialed == address || !otherComesUp {
+					if dialed == address || !otherReachable {
 						return os.NewSyscallError("connect", errno)
 					}
 					return nil
@@ -209,7 +209,7 @@
 				defer cancel()
 				p.Attempt(ctx, ctx, otherEndpoint, newRequest())
 				want := balancer.NotSent
-				if otherComesUp && sockets.Unreachable(errno) {
+				if otherReachable && sockets.Unreachable(errno) {
 					want = balancer.ConnectFailed
 				}
 				got := receive(t, results, "the attempt's end")
