--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -137,8 +137,8 @@
 
 // TestStalledPollAfterAnOutage guards against a drain that is known too late because
 // a long poll stalls from an outage on and never ends. A change that the agent has
-// when it is back counts as notified at once, so it must be known within the drain
-// grace.
+// when it can be reached again counts as notified at once, so it must be known within
+// the drain grace.
 func TestStalledPollAfterAnOutage(t *testing.T) {
 	const grace = 4 * time.Second
 	stalled := make(chan bool, 1)
@@ -154,7 +154,7 @@
 				http.NewResponseController(w).Flush() // a header without a body
 				<-r.Context().Done()
 				return
-			default: // the agent is back
+			default: // a later poll: the agent can be reached again
 				fmt.Fprintf(w, `{"index":8,"snapshot":false,"endpoints":[%s]}`, entryJSON("s", "127.0.0.1:1", "draining"))
 				return
 			}
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -14,6 +14,9 @@
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m2","group":3,"status":%q,"weight":1.5,"since_ms":7}`, name, address, status)
 }
 
+// TestMalformedEntriesAreSkipped guards against a malformed entry that is accepted or
+// that keeps the node from getting the valid ones. The entry of a removed endpoint is
+// valid without an address.
 func TestMalformedEntriesAreSkipped(t *testing.T) {
 	entries := []string{
 		entryJSON("good", "127.0.0.1:1", "ready"),
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -13,7 +13,7 @@
 // response to its first hedged request.
 const longPollSlack = 600 * time.Millisecond
 
-// Limits on the requests of one poll, hedged requests included.
+// Limits on the number of requests of one poll, hedged requests included.
 const (
 	maxShortPollRequests = 2
 	maxLongPollRequests  = maxShortPollRequests + 1
--- a/internal/discovery/recovery_test.go
+++ b/internal/discovery/recovery_test.go
@@ -190,7 +190,7 @@
 
 // TestOnDemandPollRateIsLimited guards against on-demand polls that overload the
 // shared service: too many at rest, during an outage or after it, or nodes that lost
-// the service together and poll it at the same moment when it is back.
+// the service together and poll it at the same moment when it can be reached again.
 func TestOnDemandPollRateIsLimited(t *testing.T) {
 	const nodes = 450
 	for _, failsFast := range []bool{true, false} {
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -121,7 +121,7 @@
 	io.Reader
 	stallTimer   *time.Timer // fires when a read takes longer than stallTimeout
 	stallTimeout time.Duration
-	deadline     time.Time // for the end of the last read
+	deadline     time.Time // by which the whole list must have been read
 }
 
 func (r *progressReader) Read(p []byte) (int, error) {
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -18,7 +18,8 @@
 	hedgeDelay               = 800 * time.Millisecond
 )
 
-// Limits on the drain grace from which the times of agent polls are derived.
+// Limits on the drain grace from which the times of polls of the agent, which runs on
+// the node's machine, are derived.
 const (
 	minGrace = 400 * time.Millisecond // polls for a shorter one would take too much of the node's CPU time
 	maxGrace = 4 * time.Second        // a stalled long poll must be noticed within 6 s even with a longer one
@@ -30,8 +31,8 @@
 
 // PollSchedule holds the timeouts and waits of a Watcher. They are derived from how
 // late a change may be noticed once discovery can be reached again, even if two
-// polls in a row fail: the poll in flight at that moment, in any way, and the next
-// one.
+// polls in a row fail: the poll in flight at that moment, whichever way it fails, and
+// the next one.
 //
 // The failure of a long poll is noticed within LongPollTimeout plus ResponseTimeout,
 // and the next poll is given up after ShortPollTimeout. If the first of the two is a
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -13,9 +13,8 @@
 func noJitter() float64 { return 0.5 }
 
 // TestWatcherPollsContinuously guards against a Watcher that polls for the wrong
-// version, pauses after a success or reports more than the first failure of an
-// outage. The first poll is for the full list, and a long poll follows without a
-// pause.
+// version, waits after a success or reports more than the first failure of an outage.
+// The first poll is for the full list, and a long poll follows at once.
 func TestWatcherPollsContinuously(t *testing.T) {
 	w := NewWatcher(ScheduleFor(balancer.Settings{DrainGrace: time.Second}), noJitter)
 	now := time.Hour
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -8,8 +8,8 @@
 	"bankshift/balancer"
 )
 
-// SetField sets the field of report to which a value name of endpoints or the
-// simulator refers. It returns whether the name is known.
+// SetField sets the field of report that has this name in the load reports of
+// endpoints or the simulator. It returns whether the name is known.
 func SetField(report *balancer.LoadReport, name string, value float64) bool {
 	switch name {
 	case "active", "inflight":
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -20,8 +20,9 @@
 
 // Writer passes lines on to another writer, out, from a goroutine of its own. As
 // long as out accepts them in time, Write returns once its line is written, so that
-// a crash loses no line. After a line has taken longer than 10 ms, Write does not
-// wait until all pending lines are written and another second has passed.
+// a crash loses no line. After a line has taken longer than 10 ms, Write returns
+// without waiting; it waits again once all pending lines are written and another
+// second has passed.
 type Writer struct {
 	out   io.Writer
 	wake  chan struct{} // has a value when there may be pending lines
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -59,15 +59,17 @@
 		syscall.EPIPE, syscall.ECONNABORTED, syscall.ENOTCONN)
 }
 
-// LocalFailure reports whether err comes from a shortage on this machine, such
-// as of descriptors, memory or ports, and so says nothing about the peer.
+// LocalFailure reports whether err comes from this machine and so says nothing about
+// the peer: a shortage (such as of descriptors, memory or ports), an interrupted call,
+// or a call that this machine does not permit.
 func LocalFailure(err error) bool {
 	return isAny(err, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 		syscall.EAGAIN, syscall.EINTR, syscall.EPERM)
 }
 
-// Unreachable reports whether err says that there is no route to the peer,
-// which may be due to this machine, to the network or to the peer.
+// Unreachable reports whether err says that the peer cannot be reached: there is no
+// route to it, the network is down, or the connection timed out in the kernel. That
+// may be due to this machine, to the network or to the peer.
 func Unreachable(err error) bool {
 	return isAny(err, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.ETIMEDOUT)
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -159,9 +159,9 @@
 	}()
 }
 
-// dialWithRetry connects to an address. It retries errors that come from a shortage
-// on this machine, which is likely to pass, until ctx ends. It also retries if there
-// is no route to the endpoint, as this machine may be the cause of that, too.
+// dialWithRetry connects to an address. Until ctx ends, it retries errors that come
+// from this machine (sockets.LocalFailure), which are likely to pass. It also retries
+// if the endpoint is unreachable, as this machine may be the cause of that, too.
 func (p *Pool) dialWithRetry(ctx context.Context, address string, w *waiter) (net.Conn, error) {
 	wait := firstRetryWait
 	for {
@@ -195,10 +195,9 @@
 	b.waiters = b.waiters[1:]
 }
 
-// timeoutError returns the reason why w got no connection within ConnectTimeout. A
-// missing route to the endpoint counts against the endpoint only if a connection to
-// any endpoint was established while w waited; otherwise the error wraps
-// ErrNoEndpointReachable.
+// timeoutError returns the reason why w got no connection within ConnectTimeout. That
+// the endpoint is unreachable counts against it only if a connection to any endpoint
+// was established while w waited; otherwise the error wraps ErrNoEndpointReachable.
 func (p *Pool) timeoutError(b *backend, w *waiter) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -183,7 +183,7 @@
 
 // TestPersistentDialError guards against counting a dial error against an endpoint when
 // this machine may be the cause: the outcome must be NotSent. It must be ConnectFailed
-// only if there is no route to the endpoint and a connection to another endpoint is
+// only if the endpoint is unreachable and a connection to another endpoint is
 // established in the meantime.
 func TestPersistentDialError(t *testing.T) {
 	for _, errno := range transientDialErrors {
--- a/internal/upstream/errors_test.go
+++ b/internal/upstream/errors_test.go
@@ -13,8 +13,9 @@
 	"bankshift/balancer"
 )
 
-// TestUnsentOutcome guards against counting it against an endpoint that this node could
-// not or did not send a request. The outcome must then be NotSent, not ConnectFailed.
+// TestUnsentOutcome guards against counting an unsent request against the endpoint
+// although the request ended first or the cause is on this machine. The outcome must
+// then be NotSent, not ConnectFailed.
 func TestUnsentOutcome(t *testing.T) {
 	running := context.Background()
 	ended, cancel := context.WithCancel(context.Background())
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -12,7 +12,7 @@
 // parseLoadReport parses the value of the load report header, a list like
 // "inflight=7,queue=2". It returns nil if there is no valid report. Fields with
 // unknown names are skipped. A report with any malformed field is ignored as a
-// whole, since its other fields alone would replace better counts by a part of them.
+// whole: its other fields are only a part of the counts, and would replace better ones.
 func parseLoadReport(header string) *balancer.LoadReport {
 	if header == "" {
 		return nil
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -95,7 +95,7 @@
 // acceptsRequests reports whether new requests may be sent to b.
 func (b *backend) acceptsRequests() bool { return !b.closed && !b.draining }
 
-// NewPool returns an empty pool. Its idle connections expire only while Run runs.
+// NewPool returns an empty pool. Run closes its idle connections when they expire.
 func NewPool(c Config) *Pool {
 	return &Pool{config: c, backends: map[balancer.EndpointID]*backend{}}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,9 +13,9 @@
 	"bankshift/internal/sockets"
 )
 
-// TestMinReuseDelay guards against reusing a connection before it has
-// been idle for MinReuseDelay. Whatever an endpoint sends right after a response could
-// otherwise affect the next request.
+// TestMinReuseDelay guards against reusing a connection before it has been idle for
+// MinReuseDelay. Whatever an endpoint sends right after a response could otherwise
+// affect the next request.
 func TestMinReuseDelay(t *testing.T) {
 	p := newTestPool(startNumberingEndpoint(t, nil))
 	p.config.MinReuseDelay = time.Hour
