--- a/internal/lab/hollow/events.go
+++ b/internal/lab/hollow/events.go
@@ -19,27 +19,27 @@
 }
 
 func (m *sim) scheduleStep(e scenario.Event, step scenario.Step) {
-	begin := m.trafficStart + step.At
-	end := m.trafficStart + step.Until
-	if beginFault, endFault := m.serverFault(e, step.Index); beginFault != nil {
-		m.scheduleServerFault(step.Index, begin, end, beginFault, endFault)
+	beginAt := m.trafficStart + step.At
+	endAt := m.trafficStart + step.Until
+	if begin, end := m.serverAction(e, step.Index); begin != nil {
+		m.scheduleServerAction(step.Index, beginAt, endAt, begin, end)
 		return
 	}
 	switch e.Action {
 	case scenario.PartitionNetwork:
-		m.schedulePartition(e, begin, end)
+		m.schedulePartition(e, beginAt, endAt)
 	case scenario.KillNodes:
-		m.schedule(begin, func() { m.nodes[step.Index].kill() })
+		m.schedule(beginAt, func() { m.nodes[step.Index].kill() })
 	case scenario.RestartNodes:
-		m.schedule(begin, func() { m.nodes[step.Index].shutDown() })
+		m.schedule(beginAt, func() { m.nodes[step.Index].shutDown() })
 	case scenario.ChangeLists:
-		m.schedule(begin, func() { m.changeWeight(m.currentServers[step.Index]) })
+		m.schedule(beginAt, func() { m.changeWeight(m.currentServers[step.Index]) })
 	case scenario.DiscoveryDown:
-		m.scheduleOutage(begin, end, m.registry.SetRefusing)
+		m.scheduleOutage(beginAt, endAt, m.registry.SetRefusing)
 	case scenario.DiscoverySilent:
-		m.scheduleOutage(begin, end, m.registry.SetSilent)
+		m.scheduleOutage(beginAt, endAt, m.registry.SetSilent)
 	case scenario.ResetWatches:
-		m.schedule(begin, func() {
+		m.schedule(beginAt, func() {
 			m.registry.ResetWatches(m.now)
 			m.wakeRegistry()
 		})
@@ -47,9 +47,9 @@
 	}
 }
 
-// serverFault returns the functions that begin and end an event's fault at one server. begin is nil if the event
-// is not a fault of servers, end is nil if the fault does not end by itself.
-func (m *sim) serverFault(e scenario.Event, slot int) (begin, end func(*server)) {
+// serverAction returns what an event does to the server in a slot when the event begins and when it ends. begin is
+// nil for the events that scheduleStep handles itself; end is nil if nothing is to be undone.
+func (m *sim) serverAction(e scenario.Event, slot int) (begin, end func(*server)) {
 	switch e.Action {
 	case scenario.RestartServers:
 		return func(sv *server) { sv.model.Kill(m.now) }, m.startServer
@@ -72,9 +72,9 @@
 	return nil, nil
 }
 
-// scheduleServerFault applies a fault to the server that occupies a slot when the fault begins. The fault ends
-// for the same server, even if a successor has taken the slot by then.
-func (m *sim) scheduleServerFault(slot int, beginAt, endAt time.Duration, begin, end func(*server)) {
+// scheduleServerAction schedules begin for the server that occupies the slot at that time, and end for the same
+// server, even if a successor occupies the slot by then.
+func (m *sim) scheduleServerAction(slot int, beginAt, endAt time.Duration, begin, end func(*server)) {
 	m.schedule(beginAt, func() {
 		sv := m.currentServers[slot]
 		begin(sv)
@@ -89,7 +89,7 @@
 	})
 }
 
-// disconnectServer takes a server's machine off the network.
+// disconnectServer disconnects a server's machine from the network.
 func (m *sim) disconnectServer(sv *server) {
 	sv.disconnectedAt = m.now
 	sv.model.Disconnect(m.now)
--- a/internal/lab/scenario/topology.go
+++ b/internal/lab/scenario/topology.go
@@ -33,9 +33,9 @@
 // are successors of server i, with new names but the same zone, cell and machine
 // type.
 func (s *Scenario) Server(i int) Server {
-	place := i % s.Servers.Count
-	zone := place % len(s.Zones)
-	row := place / len(s.Zones)
+	slot := i % s.Servers.Count
+	zone := slot % len(s.Zones)
+	row := slot / len(s.Zones)
 	return Server{
 		Name:        fmt.Sprintf("s-%08x", scramble(uint32(i)+uint32(s.Seed)*nameSeedFactor)),
 		Zone:        s.Zones[zone].Name,
