--- a/internal/lab/hollow/client.go
+++ b/internal/lab/hollow/client.go
@@ -88,7 +88,8 @@
 }
 
 // chooseNode returns the client's own node if that is available. Otherwise it returns another available node.
-// It returns nil if there is none, and for a first try before the load balancer in front has noticed the failure.
+// It returns nil if there is none, and for a first try before the load balancer in front of the nodes has
+// noticed the failure.
 func (c *client) chooseNode() *hollowNode {
 	m := c.sim
 	own := m.nodes[c.arrival.Node]
@@ -141,8 +142,8 @@
 	return time.Duration(float64(m.scenario.Traffic.Backoff) * (0.5 + m.rng.Float64()))
 }
 
-// mayRetry reports whether another try does no harm: the node rejected this one or never received it, or a
-// second execution is harmless at any server at present.
+// mayRetry reports whether another try does no harm: the node rejected this one, no node received it, or any server
+// may execute the request again. With an idempotency key, that holds until the key's window has passed.
 func (c *client) mayRetry(outcome tryOutcome) bool {
 	if outcome == tryRejected || outcome == tryUnreachable || c.class.Idempotency == scenario.Idempotent {
 		return true
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -15,8 +15,8 @@
 	"bankshift/internal/lab/scenario"
 )
 
-// baseScenario is a small fleet with spare capacity: 4 nodes in front of 12 servers with 2 cores each. Its two verbs
-// stand for further settings of discovery and of the traffic.
+// baseScenario is a small fleet with spare capacity: 4 nodes in front of 12 servers with 2 cores each. Each %s
+// stands for further settings: the first for those of discovery, the second for those of the traffic.
 const baseScenario = `length = "6s"
 warm = "1s"
 [fleet]
@@ -188,7 +188,8 @@
 			return r.ListTraffic.PropagationDelay.P50 > 1 && r.ListTraffic.PropagationDelay.Count == 4 && servedFraction(r, 2) > 0.97
 		}},
 		{"watches-break", "asked = true", eventAt2s(`do = "watches-break"`), func(r *result.Run) bool {
-			return r.ListTraffic.Calls == 8 && servedFraction(r, 2) > 0.97 // per node: a poll answered at once, then a watch
+			// 2 calls per node: a poll that is answered at once, then a watch
+			return r.ListTraffic.Calls == 8 && servedFraction(r, 2) > 0.97
 		}},
 		{"on-demand lists", "asked = true", eventAt2s(`do = "change-lists"`, `count = 2`, `over = "1s"`), func(r *result.Run) bool {
 			return r.ListTraffic.PropagationDelay.Count == 8 && r.ListTraffic.Calls == 8
--- a/internal/lab/hollow/measure.go
+++ b/internal/lab/hollow/measure.go
@@ -220,7 +220,7 @@
 	traffic.PropagationDelay = m.propagationDelays.Latency()
 }
 
-// reportPeaks finds the worst second after the warm-up for each quantity, and sums up the polls.
+// reportPeaks finds the worst second after the warm-up for each quantity, and adds up the polls and snapshots.
 func (m *sim) reportPeaks() {
 	peaks := map[string]result.Peak{}
 	for i, s := range m.seconds {
--- a/internal/lab/hollow/network.go
+++ b/internal/lab/hollow/network.go
@@ -39,9 +39,9 @@
 	return at >= o.from && at < o.to && (o.inside == nil || o.inside[zone])
 }
 
-// notifiedAt returns when a version counts as notified to a node: when the node's agent has it or, on demand,
-// when the node has applied it. On demand, a version that the node has not applied counts as notified
-// failedPolls poll intervals after it was published.
+// notifiedAt returns when a node counts as notified of a version: when the agent beside the node has it or, if nodes
+// request lists on demand, when the node has applied it. On demand, a node that has not applied the version counts as
+// notified failedPolls poll intervals after it was published.
 func (m *sim) notifiedAt(n *hollowNode, version uint64) time.Duration {
 	if m.scenario.Discovery.OnDemand {
 		if n.version >= version {
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -14,8 +14,11 @@
 )
 
 const (
-	maxKillDelay       = 3 * time.Second        // SIGKILL comes after the longest deadline, counted as at most this,
-	killSlack          = 700 * time.Millisecond // plus this, as the protocol page specifies
+	// After a graceful shutdown begins, SIGKILL follows after the longest deadline of all classes, or after
+	// maxKillDelay if that is shorter, plus killSlack, as the documentation of the wire protocol specifies.
+	maxKillDelay = 3 * time.Second
+	killSlack    = 700 * time.Millisecond
+
 	lastResponseMargin = 300 * time.Millisecond // from the last response to SIGKILL, as in package node
 )
 
--- a/internal/lab/hollow/poll.go
+++ b/internal/lab/hollow/poll.go
@@ -36,7 +36,7 @@
 }
 
 // observe records that the node has now applied all versions up to the given one. The propagation delays do not
-// include versions published before the node's start.
+// include versions that were published before the node's start or outside the measured time.
 func (n *hollowNode) observe(version uint64) {
 	m := n.sim
 	for v := n.version + 1; v <= version; v++ {
--- a/internal/lab/hollow/pool.go
+++ b/internal/lab/hollow/pool.go
@@ -23,7 +23,7 @@
 type backend struct {
 	server      *server
 	startedAtMS int64   // start in the list, Unix time in ms
-	closed      bool    // the server left the list, or its next process is listed
+	closed      bool    // the server was removed from the list, or its next process is listed
 	draining    bool    // the backend is listed as draining
 	dialled     bool    // the backend has been added to pool.dialled
 	idle        []*conn // most recently used last
@@ -117,7 +117,7 @@
 }
 
 // take returns the most recently used idle connection to a backend that can carry a request, nil if there is
-// none. It closes the connections that it finds unusable.
+// none. It skips those that have been idle for less than MinReuseDelay, and closes the unusable ones that it finds.
 func (p *pool) take(b *backend) *conn {
 	now := p.node.sim.now
 	for i := len(b.idle) - 1; i >= 0; i-- {
--- a/internal/lab/hollow/request.go
+++ b/internal/lab/hollow/request.go
@@ -106,7 +106,7 @@
 	n.schedule(m.now, a.start)
 }
 
-// rejectAttempt reports an attempt that must not be made to the balancer as not sent.
+// rejectAttempt reports to the balancer, with NotSent, that an attempt is not made.
 func (n *hollowNode) rejectAttempt(a *attempt) {
 	r := a.request
 	a.state = attemptOver
@@ -122,7 +122,8 @@
 	})
 }
 
-// attemptEnded handles the end of an attempt: a good response goes to the client before the balancer gets the event.
+// attemptEnded handles the end of an attempt. A response of the outcome OK goes to the client before the balancer
+// gets the event.
 func (n *hollowNode) attemptEnded(a *attempt) {
 	r := a.request
 	r.inFlight--
--- a/internal/lab/hollow/rules.go
+++ b/internal/lab/hollow/rules.go
@@ -10,7 +10,7 @@
 const (
 	maxViolations = 20                    // described in the result; further ones are only counted
 	socketSlack   = 50 * time.Millisecond // tolerance for the time that messages take through sockets
-	responseSlack = 70 * time.Millisecond // tolerance past a response's deadline: 20 ms of the settings plus socketSlack
+	responseSlack = 70 * time.Millisecond // tolerance past a response's deadline: the settings' 20 ms plus socketSlack
 
 	// A crash of a server that warms up is a violation if at least notifiedFraction of the messages that crashed it
 	// came from nodes that had been notified of its start.
@@ -109,7 +109,7 @@
 }
 
 // checkWarmupLoad records a message that reaches a server that warms up. If the server crashed under the message, it
-// checks whether nodes that knew of the start caused the crash.
+// checks whether nodes that had been notified of the start caused the crash.
 func (m *sim) checkWarmupLoad(sv *server, n *hollowNode) {
 	if sv.startVersion == 0 || m.now >= sv.startedAt+m.scenario.Servers.WarmupTime.Std() {
 		return
--- a/internal/lab/hollow/sim.go
+++ b/internal/lab/hollow/sim.go
@@ -45,7 +45,7 @@
 	// Network
 	zoneOf     map[string]int    // index of each zone, by name
 	delays     [][]time.Duration // one way between zones, without jitter
-	partitions [][]bool          // by partition and zone: whether the zone is inside; nil: the partition is not in force
+	partitions [][]bool          // by partition and zone: whether the zone is inside; nil: partition not in force
 	outages    []outage          // periods in which nodes learn of no changes to the list
 
 	// Servers and discovery
@@ -233,8 +233,8 @@
 	return newHollowNode(m, i, incarnation, cfg), nil
 }
 
-// startArrivals starts the clients when their requests are due. Each arrival is drawn when the one before it has
-// been sent.
+// startArrivals starts the clients when their requests are due. Each arrival is drawn when the client of the one
+// before it has been started.
 func (m *sim) startArrivals() {
 	var next func() (arrivals.Arrival, bool)
 	next, m.stopArrivals = iter.Pull(arrivals.All(m.scenario))
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -96,7 +96,7 @@
 	Delay        Duration `toml:"delay"`       // from a change until the agents have it or, on demand, the service
 	DelaySpread  Duration `toml:"spread"`      // maximum additional delay to an agent, drawn for each node
 	ResponseTime Duration `toml:"answer"`      // on demand: time that the service takes for a response
-	DrainGrace   Duration `toml:"drain_grace"` // after which no request may go to a server listed as draining or gone
+	DrainGrace   Duration `toml:"drain_grace"` // after which no request goes to a server listed as draining or removed
 	PollInterval Duration `toml:"ask_within"`  // on demand: without a watch, nodes must poll at least this often
 }
 
@@ -105,14 +105,14 @@
 type Traffic struct {
 	Rate          float64  `toml:"rate"`         // requests per second to the whole fleet
 	Imbalance     float64  `toml:"uneven"`       // standard deviation of the log of a node's share; 0: equal shares
-	Keys          int      `toml:"keys"`         // number of subjects of requests; not idempotency keys
+	Keys          int      `toml:"keys"`         // number of subjects that requests are about; not idempotency keys
 	KeySkew       float64  `toml:"key_skew"`     // exponent of the subjects' Zipf distribution, over 1; 0: uniform
 	Tenants       int      `toml:"tenants"`      // number of tenants; 0: requests have no tenant
 	TenantSkew    float64  `toml:"tenant_skew"`  // as KeySkew, for tenants
 	Quota         float64  `toml:"quota"`        // of each tenant, in requests per second over all nodes
 	Retries       int      `toml:"retries"`      // maximum additional tries, where another execution does no harm
 	Backoff       Duration `toml:"backoff"`      // mean wait before an additional try without Retry-After
-	FailoverDelay Duration `toml:"front_notice"` // time until first tries of a killed node's clients go elsewhere
+	FailoverDelay Duration `toml:"front_notice"` // time until first tries go from a killed node to others of its zone
 	Connections   int      `toml:"connections"`  // of clients to a node, with real processes only
 }
 
@@ -164,6 +164,6 @@
 	P99           Duration `toml:"p99"`              // maximum 99th percentile of the latency of served requests
 	ListRate      float64  `toml:"list_bytes"`       // maximum list traffic in bytes/s, mean of the nodes
 	WorstListRate float64  `toml:"worst_list_bytes"` // maximum list traffic in bytes/s of any node
-	Recovery      Duration `toml:"recovery"`         // maximum time to recover after the last event
+	Recovery      Duration `toml:"recovery"`         // maximum time from the end of the last event to the recovery
 	Crashes       *int     `toml:"falls"`            // maximum number of crashes of servers that warm up; nil: no bound
 }
