--- a/internal/lab/hollow/measure.go
+++ b/internal/lab/hollow/measure.go
@@ -19,7 +19,7 @@
 	attempts           int
 	retries            int // attempts whose predecessor may have been executed
 	handshakes         int
-	sendsToUnavailable int // requests to servers that are down, disconnected or behind a partition, or reset the connection
+	sendsToUnavailable int // requests to servers that are down, disconnected or behind a partition, or that reset them
 	ejections          int
 	deadlineResponses  int // responses by the node because the balancer had not decided in time
 
