--- a/internal/lab/hollow/measure.go
+++ b/internal/lab/hollow/measure.go
@@ -19,7 +19,7 @@
 	attempts           int
 	retries            int // attempts whose predecessor may have been executed
 	handshakes         int
-	sendsToUnavailable int // requests to servers that are down, disconnected or behind a partition
+	sendsToUnavailable int // requests to servers that are down, disconnected or behind a partition, or that reset them
 	ejections          int
 	deadlineResponses  int // responses by the node because the balancer had not decided in time
 
@@ -220,7 +220,7 @@
 	traffic.PropagationDelay = m.propagationDelays.Latency()
 }
 
-// reportPeaks finds the worst second after the warm-up for each quantity, and sums up the polls.
+// reportPeaks finds the worst second after the warm-up for each quantity, and adds up the polls and snapshots.
 func (m *sim) reportPeaks() {
 	peaks := map[string]result.Peak{}
 	for i, s := range m.seconds {
