--- a/cmd/bankshift/process_test.go
+++ b/cmd/bankshift/process_test.go
@@ -17,7 +17,7 @@
 
 const (
 	testTimeout = 60 * time.Second // limit of each wait of a test; a passing test takes far less
-	readyLimit  = 6 * time.Second  // a restarted process has to be ready within 10 s, or 6 s where a scenario ends sooner
+	readyLimit  = 6 * time.Second  // a restarted process has to be ready in 10 s, or 6 s where a scenario ends sooner
 )
 
 // runAsProgram is the environment variable that, set to 1, makes the test binary
--- a/cmd/bankshift/soak_backend_test.go
+++ b/cmd/bankshift/soak_backend_test.go
@@ -53,7 +53,7 @@
 		}
 		s.checkAttempt(id, a)
 		time.Sleep(s.drawMilliseconds(20))
-		if backend.behaviour == "full late" { // so that a further attempt would begin long after a client has left
+		if backend.behaviour == "full late" { // so that a further attempt would begin long after a client has disconnected
 			time.Sleep(time.Duration(150+s.draw(150)) * time.Millisecond)
 		}
 		if !s.respond(c, r, backend.behaviour, id, a.rejected) {
@@ -76,7 +76,7 @@
 	seconds, err := strconv.ParseFloat(req.Header.Get("X-Deadline"), 64)
 	a.deadline = time.Duration(seconds * float64(time.Second))
 	if err != nil {
-		a.deadline = time.Hour // a missing or malformed deadline: an hour violates the limit
+		a.deadline = time.Hour // a missing or malformed deadline counts as one that is too long
 	}
 	return req.Header.Get("X-Request-Id"), true
 }
--- a/cmd/bankshift/soak_client_test.go
+++ b/cmd/bankshift/soak_client_test.go
@@ -13,7 +13,7 @@
 
 var (
 	errNoNewConnections = errors.New("no new connections are made: the run is over, or the load balancer in front has stopped sending them")
-	errClientLeft       = errors.New("the client abandoned its request")
+	errClientLeft       = errors.New("the client disconnected before the response")
 	errAskedToClose     = errors.New("the response has Connection: close")
 )
 
@@ -152,7 +152,7 @@
 		return false, err
 	}
 	c.locked(func() { r.sentAt = time.Now() })
-	if c.draw(c.abandonOneIn) == 0 {
+	if c.draw(c.abandonOneIn) == 0 { // the caller closes the connection on errClientLeft
 		time.Sleep(time.Duration(c.draw(int(r.deadline / 4))))
 		c.locked(func() { r.leftAt = time.Now() })
 		return true, errClientLeft
--- a/cmd/bankshift/soak_delay_test.go
+++ b/cmd/bankshift/soak_delay_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// watchStalls measures, until done is closed, for how long the test process is kept
-// from running: the time stamps that the test takes are late by that. It also reads
-// the node's scheduling delay.
+// watchStalls measures, until done is closed, for how long the test process is
+// paused: the time stamps that the test takes are late by that. It also reads the
+// node's scheduling delay.
 func (s *soakRun) watchStalls(done <-chan struct{}) {
 	const step = 5 * time.Millisecond
-	const decay = 0.995 // factor for the longest stall at each step, which halves it in 0.7 s
+	const decay = 0.995 // factor for the longest pause at each step, which halves it in 0.7 s
 	const stepsPerReading = 10
 	for i := 0; ; i++ {
 		select {
--- a/cmd/bankshift/soak_events_test.go
+++ b/cmd/bankshift/soak_events_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// injectEvents brings about the events of a run in order: reloads that move
-// discovery, a silent discovery, the drain of a backend, a burst of connections,
+// injectEvents brings about the events of a run in order: reloads with a new address
+// of discovery, a silent discovery, the drain of a backend, a burst of connections,
 // SIGTERM and further signals.
 func (s *soakRun) injectEvents(t *testing.T, cmd *exec.Cmd, listen string) {
 	t.Helper()
--- a/cmd/bankshift/soak_rules_test.go
+++ b/cmd/bankshift/soak_rules_test.go
@@ -7,9 +7,9 @@
 
 // Limits and tolerances that the operators' documentation states.
 const (
-	deadlineSlack       = 150 * time.Millisecond // a deadline sent to a backend may exceed what is left by this much
+	deadlineSlack       = 150 * time.Millisecond // a deadline sent to a backend may exceed the time left by this much
 	responseSlack       = 500 * time.Millisecond // a response later than this after its deadline is lost
-	departureSlack      = 100 * time.Millisecond // an attempt may begin up to this long after its client has left
+	departureSlack      = 100 * time.Millisecond // an attempt may begin up to this long after its client disconnected
 	drainGrace          = time.Second            // a setting: a draining backend may get last requests for this long
 	drainGraceSlack     = 50 * time.Millisecond  // tolerance that the documentation adds to each limit
 	onDemandDelay       = 6 * time.Second        // with polls on demand, a list change counts as known after this time
@@ -30,7 +30,7 @@
 	class    string
 	deadline time.Duration
 	sentAt   time.Time // when its last byte was written; zero: not yet
-	leftAt   time.Time // when its client abandoned it; zero: it has not
+	leftAt   time.Time // when its client disconnected before the response; zero: it has not
 	attempts []soakAttempt
 }
 
@@ -73,8 +73,8 @@
 
 // checkTimes checks that the deadline sent with an attempt is no longer than the
 // time that its request has left, and that the attempt does not begin after its
-// client has left. Both checks allow for a slack and for the timing error of the
-// test process. The caller holds s.mu.
+// client has disconnected. Both checks allow for a slack and for the timing error of
+// the test process. The caller holds s.mu.
 func (s *soakRun) checkTimes(id string, r *soakRequest, a soakAttempt) {
 	left := r.deadline
 	if !r.sentAt.IsZero() {
@@ -84,15 +84,15 @@
 		s.recordViolation("%s: attempt sent with a deadline of %v, but only %v of the client's is left", id, a.deadline, left)
 	}
 	if !r.leftAt.IsZero() && a.firstByteAt.Sub(r.leftAt) > departureSlack+s.timingError() {
-		s.recordViolation("%s: attempt begins %v after its client has left", id, a.firstByteAt.Sub(r.leftAt))
+		s.recordViolation("%s: attempt begins %v after its client disconnected", id, a.firstByteAt.Sub(r.leftAt))
 	}
 }
 
-// checkDrain checks that no attempt reaches a backend later than the drain grace
-// after the node has to know that it is draining. The node has to know a drain when
-// discovery has it and answers, and onDemandDelay later if it polls on demand; if it
-// was sent SIGHUP before that, not earlier than reloadDelay after the signal. The
-// caller holds s.mu.
+// checkDrain checks that no attempt reaches a draining backend later than drainGrace
+// after the time at which the node has to know of the drain. That is when the list
+// of discovery shows the drain and discovery answers polls, and onDemandDelay later
+// if the node polls on demand. If the node was sent SIGHUP before that time, it is
+// not earlier than reloadDelay after the signal. The caller holds s.mu.
 func (s *soakRun) checkDrain(id string, a soakAttempt) {
 	backend := s.backends[a.backend]
 	if backend.drainedAt.IsZero() {
--- a/cmd/bankshift/soak_test.go
+++ b/cmd/bankshift/soak_test.go
@@ -22,7 +22,7 @@
 	connectionBurst bool          // 300 connections that carry no request are opened at once
 	pauses          bool          // the node process is repeatedly paused by SIGSTOP, for just under maxNodePause
 	abandonOneIn    int           // one request in so many is abandoned: its client closes the connection early
-	silentDiscovery bool          // discovery does not answer for a while, during which a backend begins to drain
+	silentDiscovery bool          // discovery does not answer for a while, in which a backend begins to drain
 	staleEndpoints  bool          // the node starts with an endpoint list that lacks the drain of backend 0
 	badClients      bool          // some clients send malformed or incomplete requests
 
@@ -40,7 +40,7 @@
 	killedAt        time.Time     // when SIGKILL was sent; zero: not sent
 	over            bool          // the node has exited: clients stop, and missing responses are no violations
 	lastTick        time.Time     // when watchStalls last ran
-	longestStall    time.Duration // longest recent time for which the test process did not run; it decays
+	longestStall    time.Duration // longest recent pause of the test process; it decays
 	nodeDelay       schedulingDelay
 }
 
@@ -195,7 +195,7 @@
 	const maxReported = 20
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t.Log(s.counts, "longest recent stall of the test process:", s.longestStall)
+	t.Log(s.counts, "longest recent pause of the test process:", s.longestStall)
 	for i, violation := range s.violations {
 		t.Error(violation)
 		if i == maxReported {
@@ -209,7 +209,7 @@
 
 // TestSoak guards against lost, wrongly repeated and late requests, and against
 // broken limits, when several faults coincide. It runs node processes with backends
-// that hang, fail and reset, clients that leave, write slowly and pause, changing
+// that hang, fail and reset, clients that disconnect, write slowly and idle, changing
 // endpoint lists, several reloads, bursts of connections, several signals in a row,
 // and SIGKILL at the earliest time allowed. SOAK_SEEDS sets the number of runs and
 // SOAK_FIRST the first seed; the default is the 6 runs from seed 1.
--- a/internal/lab/arrivals/arrivals.go
+++ b/internal/lab/arrivals/arrivals.go
@@ -19,7 +19,7 @@
 	At     time.Duration // intended time of sending, since the start of the traffic
 	Node   int           // that its client is connected to
 	Class  int           // index in Scenario.Classes
-	Key    int           // number of its subject
+	Key    int           // number of the subject that the request is about; not an idempotency key
 	Tenant int           // -1: none
 	Work   time.Duration // execution time on a core of speed 1
 }
--- a/internal/lab/arrivals/arrivals_test.go
+++ b/internal/lab/arrivals/arrivals_test.go
@@ -59,8 +59,8 @@
 	return s
 }
 
-// checkFit tests whether the counts got fit the expected counts want: a
-// chi-squared test at a significance level of 1 in 10,000.
+// checkFit fails the test unless the counts in got fit the expected counts in want,
+// by a chi-squared test at a significance level of 1 in 10,000.
 func checkFit(t *testing.T, what string, got, want []float64) {
 	t.Helper()
 	if chi, most := stat.ChiSquare(got, want), (distuv.ChiSquared{K: float64(len(got) - 1)}).Quantile(0.9999); chi > most {
--- a/internal/lab/model/registry.go
+++ b/internal/lab/model/registry.go
@@ -25,7 +25,7 @@
 }
 
 const (
-	defaultLogLength = 1024             // in versions: covers a large release at once; about a hundred bytes an entry
+	defaultLogLength = 1024             // in versions: covers a large release at once; an entry takes about 100 bytes
 	maxHold          = 60 * time.Second // longest time to hold a watch, according to the discovery protocol
 )
 
@@ -102,11 +102,11 @@
 	stats      RegistryStats
 }
 
-// nodeState is when a node receives changes, and its calls.
+// nodeState holds what decides when a node receives changes, and the node's calls.
 type nodeState struct {
-	delay         time.Duration
-	outages       int    // number of current faults that keep changes from the node
-	frozenVersion uint64 // the version the node has while outages is above 0
+	delay         time.Duration // from a change until the node's agent or the service has it
+	outages       int           // number of current faults that keep changes from the node
+	frozenVersion uint64        // the version the node has while outages is above 0
 	isolated      bool
 	calls         map[uint64]*call // held or being answered
 	stats         RegistryStats
--- a/internal/lab/model/registrycalls.go
+++ b/internal/lab/model/registrycalls.go
@@ -44,7 +44,7 @@
 	return c.id
 }
 
-// CancelCall ends a call that its node has given up. With OnDemand, service time
+// CancelCall ends a call that its node has canceled. With OnDemand, service time
 // that is already reserved for its response stays reserved.
 func (r *Registry) CancelCall(now time.Duration, id uint64) {
 	r.advanceTo(now)
--- a/internal/lab/model/serverconn.go
+++ b/internal/lab/model/serverconn.go
@@ -23,7 +23,8 @@
 // Connect opens a connection. The outcome is one of
 //
 //   - Accepted: the returned duration is the time of the handshake at the
-//     server's current speed, by which the first request arrives later;
+//     server's current speed; the caller lets the first request arrive that much
+//     later;
 //   - Rejected: the server is at its connection limit. The client sees an
 //     established connection whose first request is rejected; the connection
 //     does not count as open;
--- a/test.sh
+++ b/test.sh
@@ -1,10 +1,10 @@
 #!/bin/bash
-# Formatting, vet, staticcheck, and all tests under the race detector. Needs the Go tool chain and a C compiler, and the
-# modules that go.sum and tools/go.sum pin: they are fetched where the module cache lacks them, and without a network once
-# it has them.
+# Checks the formatting, runs vet and staticcheck, and runs all tests under the race detector. Needs the Go toolchain, a C
+# compiler, and the modules that go.sum and tools/go.sum pin. Modules that the module cache lacks are downloaded; once it
+# has all of them, no network is needed.
 set -eu
 cd "$(dirname "$0")"
-# Read only: go.mod and go.sum alone say which versions are built, and a module that is not what they pin fails.
+# With -mod=readonly, only the versions in go.mod and go.sum are built, and a module that differs from them is an error.
 export GOFLAGS='-buildvcs=false -mod=readonly' GOTOOLCHAIN=local GOWORK=off
 go mod download
 unformatted=$(gofmt -l .)
@@ -14,8 +14,8 @@
 fi
 go vet ./...
 go tool -modfile=tools/go.mod staticcheck -checks all ./...
-# KNOWN-RED.txt lists tests that fail for a real fault which is not fixed yet: one entry a line, "Test/subtest: command;
-# what was seen; issue". Exactly these are skipped, and printed.
+# KNOWN-RED.txt lists tests that fail for a real fault which is not fixed yet: one entry per line, in the form
+# "Test/subtest: command; what was seen; issue". Exactly these tests are skipped, and the list is printed.
 skip=()
 if [ -s KNOWN-RED.txt ]; then
 	printf 'known to fail, skipped:\n'
