--- a/cmd/bankshift/soak_client_test.go
+++ b/cmd/bankshift/soak_client_test.go
@@ -12,9 +12,9 @@
 )
 
 var (
-	errNoNewConnections = errors.New("no new connections are made: the run is over, or the load balancer in front has stopped sending them")
-	errClientLeft       = errors.New("the client disconnected before the response")
-	errAskedToClose     = errors.New("the response has Connection: close")
+	errNoNewConnections   = errors.New("no new connections are made: the run is over, or the load balancer in front has stopped sending them")
+	errClientDisconnected = errors.New("the client disconnected before the response")
+	errAskedToClose       = errors.New("the response has Connection: close")
 )
 
 // soakClient sends one request after the other on a keep-alive connection.
@@ -152,10 +152,10 @@
 		return false, err
 	}
 	c.locked(func() { r.sentAt = time.Now() })
-	if c.draw(c.abandonOneIn) == 0 { // the caller closes the connection on errClientLeft
+	if c.draw(c.abandonOneIn) == 0 { // the caller closes the connection on errClientDisconnected
 		time.Sleep(time.Duration(c.draw(int(r.deadline / 4))))
-		c.locked(func() { r.leftAt = time.Now() })
-		return true, errClientLeft
+		c.locked(func() { r.disconnectedAt = time.Now() })
+		return true, errClientDisconnected
 	}
 	return c.readResponse(id, r)
 }
--- a/cmd/bankshift/soak_delay_test.go
+++ b/cmd/bankshift/soak_delay_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// watchStalls measures, until done is closed, for how long the test process is
+// watchTestPauses measures, until done is closed, for how long the test process is
 // paused: the time stamps that the test takes are late by that. It also reads the
 // node's scheduling delay.
-func (s *soakRun) watchStalls(done <-chan struct{}) {
+func (s *soakRun) watchTestPauses(done <-chan struct{}) {
 	const step = 5 * time.Millisecond
 	const decay = 0.995 // factor for the longest pause at each step, which halves it in 0.7 s
 	const stepsPerReading = 10
@@ -23,7 +23,7 @@
 		s.locked(func() {
 			now := time.Now()
 			if !s.lastTick.IsZero() {
-				s.longestStall = max(now.Sub(s.lastTick)-step, time.Duration(decay*float64(s.longestStall)))
+				s.maxTestPause = max(now.Sub(s.lastTick)-step, time.Duration(decay*float64(s.maxTestPause)))
 			}
 			s.lastTick = now
 			if i%stepsPerReading == 0 && s.nodeDelay.pid > 0 {
@@ -39,7 +39,7 @@
 	if s.lastTick.IsZero() {
 		return 0
 	}
-	return max(s.longestStall, time.Since(s.lastTick))
+	return max(s.maxTestPause, time.Since(s.lastTick))
 }
 
 // schedulingDelay records how long the threads of a process have waited for a CPU,
--- a/cmd/bankshift/soak_rules_test.go
+++ b/cmd/bankshift/soak_rules_test.go
@@ -9,7 +9,7 @@
 const (
 	deadlineSlack       = 150 * time.Millisecond // a deadline sent to a backend may exceed the time left by this much
 	responseSlack       = 500 * time.Millisecond // a response later than this after its deadline is lost
-	departureSlack      = 100 * time.Millisecond // an attempt may begin up to this long after its client disconnected
+	disconnectSlack     = 100 * time.Millisecond // an attempt may begin up to this long after its client disconnected
 	drainGrace          = time.Second            // a setting: a draining backend may get last requests for this long
 	drainGraceSlack     = 50 * time.Millisecond  // tolerance that the documentation adds to each limit
 	onDemandDelay       = 6 * time.Second        // with polls on demand, a list change counts as known after this time
@@ -27,11 +27,11 @@
 // soakRequest records one request of a client and the attempts that backends have
 // received for it.
 type soakRequest struct {
-	class    string
-	deadline time.Duration
-	sentAt   time.Time // when its last byte was written; zero: not yet
-	leftAt   time.Time // when its client disconnected before the response; zero: it has not
-	attempts []soakAttempt
+	class          string
+	deadline       time.Duration
+	sentAt         time.Time // when its last byte was written; zero: not yet
+	disconnectedAt time.Time // when its client disconnected before the response; zero: it has not
+	attempts       []soakAttempt
 }
 
 // soakAttempt records an attempt as its backend received it.
@@ -83,8 +83,8 @@
 	if a.deadline > left+deadlineSlack+s.timingError() {
 		s.recordViolation("%s: attempt sent with a deadline of %v, but only %v of the client's is left", id, a.deadline, left)
 	}
-	if !r.leftAt.IsZero() && a.firstByteAt.Sub(r.leftAt) > departureSlack+s.timingError() {
-		s.recordViolation("%s: attempt begins %v after its client disconnected", id, a.firstByteAt.Sub(r.leftAt))
+	if !r.disconnectedAt.IsZero() && a.firstByteAt.Sub(r.disconnectedAt) > disconnectSlack+s.timingError() {
+		s.recordViolation("%s: attempt begins %v after its client disconnected", id, a.firstByteAt.Sub(r.disconnectedAt))
 	}
 }
 
--- a/cmd/bankshift/soak_test.go
+++ b/cmd/bankshift/soak_test.go
@@ -39,8 +39,8 @@
 	sigtermAt       time.Time     // when the first SIGTERM was sent; zero: not yet
 	killedAt        time.Time     // when SIGKILL was sent; zero: not sent
 	over            bool          // the node has exited: clients stop, and missing responses are no violations
-	lastTick        time.Time     // when watchStalls last ran
-	longestStall    time.Duration // longest recent pause of the test process; it decays
+	lastTick        time.Time     // when watchTestPauses last ran
+	maxTestPause    time.Duration // longest recent pause of the test process; it decays
 	nodeDelay       schedulingDelay
 }
 
@@ -110,7 +110,7 @@
 func (s *soakRun) runNode(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
-	go s.watchStalls(done)
+	go s.watchTestPauses(done)
 	s.startBackends(t)
 	listen := freeAddress(t)
 	cmd := newProgram(t, s.config(listen, s.startDiscovery(t)))
@@ -195,7 +195,7 @@
 	const maxReported = 20
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t.Log(s.counts, "longest recent pause of the test process:", s.longestStall)
+	t.Log(s.counts, "longest recent pause of the test process:", s.maxTestPause)
 	for i, violation := range s.violations {
 		t.Error(violation)
 		if i == maxReported {
