--- a/cmd/bankshift/soak_backend_test.go
+++ b/cmd/bankshift/soak_backend_test.go
@@ -53,7 +53,7 @@
 		}
 		s.checkAttempt(id, a)
 		time.Sleep(s.drawMilliseconds(20))
-		if backend.behaviour == "full late" { // so that a further attempt would begin long after a client has disconnected
+		if backend.behaviour == "full late" { // so that a further attempt would begin long after a client disconnected
 			time.Sleep(time.Duration(150+s.draw(150)) * time.Millisecond)
 		}
 		if !s.respond(c, r, backend.behaviour, id, a.rejected) {
--- a/test.sh
+++ b/test.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# Checks the formatting, runs vet and staticcheck, and runs all tests under the race detector. Needs the Go toolchain, a C
-# compiler, and the modules that go.sum and tools/go.sum pin. Modules that the module cache lacks are downloaded; once it
-# has all of them, no network is needed.
+# Checks the formatting, runs vet and staticcheck, and runs all tests under the race detector. Needs the Go toolchain, a
+# C compiler, and the modules that go.sum and tools/go.sum pin. Modules that the module cache lacks are downloaded; once
+# it has all of them, no network is needed.
 set -eu
 cd "$(dirname "$0")"
 # With -mod=readonly, only the versions in go.mod and go.sum are built, and a module that differs from them is an error.
