--- a/cmd/bankshift-lab/agree.go
+++ b/cmd/bankshift-lab/agree.go
@@ -32,7 +32,7 @@
 const (
 	servedTolerance   = 0.01 // fraction of all requests: random variation alone changes a few per thousand
 	attemptsTolerance = 0.03 // attempts per request
-	listsTolerance    = 0.15 // fraction of the list bytes: header lengths differ, and poll counts by the phase of the polls
+	listsTolerance    = 0.15 // fraction of list bytes: header lengths differ, poll counts depend on the polls' phase
 )
 
 // compare returns the quantities in which a hollow and a real run of one scenario
