--- a/balancer/action.go
+++ b/balancer/action.go
@@ -11,8 +11,8 @@
 	Send struct {
 		ID          RequestID
 		Endpoint    EndpointID
-		Timeout     time.Duration // 0: until the client stops waiting
-		StartWithin time.Duration // its first byte must be sent within this time; 0: at any time during the attempt
+		Timeout     time.Duration // longest duration of the attempt; 0: until the client stops waiting
+		StartWithin time.Duration // the request's first byte must be sent within this time; 0: any time in the attempt
 	}
 	// Reject is a final answer: no endpoint served the request, and the client may safely try again.
 	Reject struct {
--- a/balancer/event.go
+++ b/balancer/event.go
@@ -144,7 +144,8 @@
 		Endpoint EndpointID
 		Elapsed  time.Duration
 	}
-	// RequestAbandoned means that the client no longer waits for the request, which needs no answer.
+	// RequestAbandoned means that the request needs no answer from the balancer, for example because its client has
+	// disconnected.
 	RequestAbandoned struct{ ID RequestID }
 	// DeadlineExceeded means that the request's final answer is due. Reject or Fail answers it at once, unless a
 	// stream has begun. The event is not needed if timers and outcomes reach the Balancer in time: it then gives the
--- a/balancer/fleet_slowstart_test.go
+++ b/balancer/fleet_slowstart_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// loadStep returns a load, as a multiple of the traffic before the start, that is before until the time then and after
-// from that time on.
+// loadStep returns a load that changes once, when the time then has passed since the endpoints started. Both its values
+// are multiples of the traffic before that start.
 func loadStep(before float64, then time.Duration, after float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at < then {
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -25,7 +25,7 @@
 	respond       func(balancer.EndpointID) (latency time.Duration, outcome balancer.Outcome)
 	work          func(balancer.RequestID) time.Duration // added to the latency of each attempt
 	clientTimeout time.Duration                          // how long a client waits, over all its tries
-	retries       int                                    // most retries of a rejected client, each after its Retry-After
+	retries       int                                    // most retries of a rejected client, each after Retry-After
 
 	// Requests. The ID of a client's first try is its class and number; retries append "/x", "/xx" and so on.
 	arrivals     int                                    // clients so far
--- a/balancer/healthcheck.go
+++ b/balancer/healthcheck.go
@@ -7,7 +7,7 @@
 
 const (
 	healthCheckToken      = 1                    // token of the timer that ends a round; the tick's timer has token 0
-	maxHealthCheckPenalty = 0.005                // most points that two checks before a send may deduct from the result
+	maxHealthCheckPenalty = 0.005                // most points of ResultPenalties for the two checks before a send
 	healthCheckTimeout    = 5 * time.Millisecond // several round trips, far below any latency objective
 	maxHealthCheckRounds  = 3                    // of two endpoints each, before all endpoints count as full
 )
@@ -21,8 +21,8 @@
 }
 
 // shouldCheckLoad reports whether the load of endpoints is to be checked before each send: health checks must be the
-// only source of load reports, and cheap. Among many nodes, the own counts of a node are 0 or 1 and say little about
-// the load of an endpoint.
+// only source of load reports, and cheap. They are worth it because, among many nodes, a node's own counts are 0 or 1
+// and say little about the load of an endpoint.
 func (b *Balancer) shouldCheckLoad() bool {
 	return b.settings.HealthChecksAllowed && b.settings.LoadReportSource == LoadReportsByHealthCheck &&
 		2*b.settings.ResultPenalties.HealthCheck <= maxHealthCheckPenalty
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -7,8 +7,8 @@
 
 // Helpers of the tests that use the unexported state of a Balancer.
 
-// newNode returns the balancer of the node with this index among the nodes. It knows ready endpoints with the IDs 1, 2
-// and so on.
+// newNode returns the balancer of the node with this index among the given number of nodes. It knows the given number
+// of ready endpoints, with the IDs 1, 2 and so on.
 func newNode(index, nodes, endpoints int) *Balancer {
 	settings := Settings{
 		Nodes:             nodes,
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -11,7 +11,7 @@
 	machineTypeGain         = 0.006 // in a machine type's long average, whose minimum is kept: chance must be small
 	endpointLatencyGain     = 0.1   // in an endpoint's latency and in the endpoints' concurrency
 	throughputTau           = 3.0   // s; time constant with which observations of an endpoint lose their weight
-	extremesTau             = 600.0 // s; time constant of peak throughput and unloaded latency; longer than overloads last
+	extremesTau             = 600.0 // s; time constant of peak throughput and unloaded latency: overloads are shorter
 	latencyNoise            = 0.15  // fraction by which an average may be below its true value by chance alone
 	minResponses            = 2.0   // responses per endpoint of the subsets, on average, after which a node has learned
 	machineTypeMinResponses = 50.0  // responses of a machine type after which its unloaded latency is used
@@ -80,8 +80,8 @@
 	workAhead := request.relativeWork*class.relativeWork + attempt.inFlightBefore/b.concurrency
 	b.serviceTime.add(seconds/workAhead, meanGain)
 	class.latency.add(seconds, meanGain)
-	// fleetLatency is sampled at the same times as the class's latency: otherwise a class with few requests would seem to
-	// need more work for as long as its mean includes a past overload.
+	// fleetLatency is sampled at the same times as the class's latency: otherwise a class with few requests would seem
+	// to need more work for as long as its mean includes a past overload.
 	class.fleetLatency.add(b.latency.mean, meanGain)
 	class.relativeWork = class.latency.mean / class.fleetLatency.mean
 	machine := attempt.endpoint.machineType
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -11,8 +11,8 @@
 	minConsecutiveFailures = 3                      // to eject an endpoint: fewer may be chance
 	maxChanceOfFailures    = 1e-5                   // highest probability of a run of failures that ejects
 	minUnansweredSends     = 4                      // to eject a silent endpoint: fewer may be chance
-	silentFactor           = 4.0                    // multiple of the expected latency that is no longer chance
-	conclusiveFactor       = 2.0                    // multiple of the expected latency before which silence proves nothing
+	silentFactor           = 4.0                    // multiple of the expected latency that is no longer due to chance
+	conclusiveFactor       = 2.0                    // multiple of that latency before which silence proves nothing
 	firstTrialBackoff      = 500 * time.Millisecond // wait before the first trial request, before jitter
 	maxTrialBackoff        = 4 * time.Second        // longest wait between two trial requests, before jitter
 	logInterval            = 5 * time.Second        // least time between two log actions about one endpoint
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -7,7 +7,8 @@
 )
 
 // Guards against blaming an endpoint for a timeout that came before a response could be expected, because a slow
-// connection or an earlier attempt had left little time. Only a timeout after the usual latency counts as a failure.
+// connection or an earlier attempt had left little time. Only a timeout after conclusiveFactor times the expected
+// latency counts as a failure.
 func TestEarlyTimeoutIsInconclusive(t *testing.T) {
 	for _, c := range []struct {
 		sinceSent  time.Duration
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -14,17 +14,17 @@
 	timeoutModeValidity = 3 * time.Second // the same after a request timed out: the queue needs seconds to drain
 	objectiveShare      = 0.4             // fraction of an objective that the mean latency may take: tails are long
 	queueFactor         = 1.3             // multiple of unloaded latency that H allows: long queues slow endpoints down
-	extraQueueFactor    = 1.5             // plus this / nodesPerEndpoint: the more nodes, the less a node's own counts say
+	extraQueueFactor    = 1.5             // plus this / nodesPerEndpoint: with more nodes, a node's own counts say less
 	maxObjectiveStretch = 3.0             // maximum factor by which H grows while the latency is below the allowed one
 	lowRatio            = 0.75            // L as a fraction of H
-	blockRatio          = 1.2             // R as a multiple of H: retries of rejected clients soon fill any room above H
+	blockRatio          = 1.2             // R as a multiple of H: rejected clients' retries soon fill any room above H
 	reportedBlockRatio  = 1.3             // the same for reported counts: beyond it, responses are late
 	waitShare           = 0.8             // fraction of an objective that queueing and service may take
 	aggregateBelow      = 0.33            // a subset whose mean H is below this is evaluated as an aggregate
 	aggregateSamples    = 10.0            // the aggregate's count is smoothed over the time of this many responses
-	aggregateDeviations = 3.0             // multiple of sqrt(H) by which the aggregate's count may exceed H for a moment
-	minThreshold        = 2.0             // minimum of H summed over an endpoint's nodes; twice that until a node learns
-	fleetShare          = 0.3             // weight of the mean throughput in H, so that chance does not starve an endpoint
+	aggregateDeviations = 3.0             // multiple of sqrt(H) by which an aggregate's count may exceed H for a moment
+	minThreshold        = 2.0             // least sum of H over an endpoint's nodes; double until a node has learned
+	fleetShare          = 0.3             // weight of the mean throughput in H: chance must not starve an endpoint
 )
 
 // Mode is the overload state of an endpoint as this node sees it: the paper's s = 0, 1, 2.
@@ -73,7 +73,7 @@
 	modeByCount       Mode    // from this node's attempts in flight
 	modeByReport      Mode    // from load reports
 	imposedMode       Mode    // lower bound on the mode, after a rejection, a timeout or a load report
-	imposedUntil      Time    // when imposedMode lapses
+	imposedUntil      Time    // when imposedMode expires
 	excess            float64 // position of the endpoint's count between H (0) and R (1)
 	reportedAt        Time    // time of the last load report
 }
--- a/balancer/overload_behaviour_test.go
+++ b/balancer/overload_behaviour_test.go
@@ -138,7 +138,7 @@
 	h.run(200*time.Millisecond, 0, "ordinary")
 	h.run(200*time.Millisecond, 20, "ordinary")
 	if h.sent[1] == 0 {
-		t.Error("no request was sent after modeValidity: the block did not lapse")
+		t.Error("no request was sent after modeValidity: the block did not expire")
 	}
 }
 
@@ -185,7 +185,7 @@
 	h.inTime = map[string]int{}
 	h.retryAfters = nil
 	endpoints.longestQueue = 0
-	h.runMixed(10*time.Second, 40, "important", 600, "ordinary") // 20 and 300/s on average; the endpoints can serve 200/s
+	h.runMixed(10*time.Second, 40, "important", 600, "ordinary") // mean 20 and 300/s; the endpoints can serve 200/s
 	if h.inTime["important"] < 170 {
 		t.Errorf("%d of 200 important requests in time, want at least 170", h.inTime["important"])
 	}
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -113,7 +113,7 @@
 	}
 	node.now += modeValidity
 	if node.updateMode(placement, rejecting) != Normal {
-		t.Error("the imposed mode did not lapse after modeValidity")
+		t.Error("the imposed mode did not expire after modeValidity")
 	}
 }
 
@@ -143,7 +143,7 @@
 	}
 	node.now += timeoutModeValidity
 	if node.updateMode(placement, slow) != Normal {
-		t.Error("the mode imposed by the timeout did not lapse after timeoutModeValidity")
+		t.Error("the mode imposed by the timeout did not expire after timeoutModeValidity")
 	}
 }
 
--- a/balancer/poll.go
+++ b/balancer/poll.go
@@ -7,8 +7,9 @@
 const (
 	// MaxPollRetryInterval is the longest time from the start of a failed poll to the start of the next. A node must
 	// know a change at the latest 6 s after discovery has it and is reachable, even if the poll under way and the next
-	// one fail: two intervals and the answer to a third poll fit into 6 s, without the drain grace. Discovery may delay
-	// a poll by up to 2 s, and a poll that is given up sooner has to wait again, so the interval cannot be much shorter.
+	// one fail: two intervals and the answer to a third poll fit into 6 s, without using any of the drain grace.
+	// Discovery may delay a poll by up to 2 s, and a poll that is given up sooner has to wait again, so the interval
+	// cannot be much shorter.
 	MaxPollRetryInterval = 2500 * time.Millisecond
 
 	firstPollBackoff  = 200 * time.Millisecond // wait after the first failure
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -297,7 +297,7 @@
 }
 
 // closeRequest records that a request has its final answer or needs none, and cancels its attempts in flight if
-// cancelling is allowed. The request may be nil.
+// canceling is allowed and no stream has begun. The request may be nil.
 func (b *Balancer) closeRequest(request *request) {
 	if request == nil || request.done {
 		return
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -116,7 +116,7 @@
 	ResponseSlack     time.Duration // a final answer up to this long past the deadline still counts
 	PollInterval      time.Duration // without a subscription, poll for the endpoint list at least this often
 	DrainGrace        time.Duration // sends to an endpoint must stop within this time of its draining or removal
-	DrainCloseTimeout time.Duration // idle connections to a draining endpoint must be closed by then; 0: no such rule
+	DrainCloseTimeout time.Duration // close idle connections to a draining endpoint within this time; 0: no such rule
 
 	// Slow start.
 	SlowStartCapacity float64       // least fraction of its full capacity, 0 to 1, that an endpoint has at its start
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -7,10 +7,10 @@
 
 const (
 	minSlowStartRate = 4.0 // requests per second from all nodes: least rate assumed for an endpoint at full capacity
-	slowStartGrowth  = 0.5 // fraction of OverloadFactor by which the present capacity is multiplied to get the send rate
+	slowStartGrowth  = 0.5 // fraction of OverloadFactor by which the present capacity is multiplied to get a send rate
 
 	maxClockStep         = time.Hour // largest step of a wall clock that is assumed
-	maxUnannouncedGrowth = 0.5       // most warmth gained before an update announces a start, as a fraction of the least
+	maxUnannouncedGrowth = 0.5       // most warmth gained until a start is announced, as a fraction of the least warmth
 )
 
 // slowStartState is the slow start of an endpoint: until it has warmed up, a token bucket limits what is sent to it.
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -69,9 +69,9 @@
 	}
 }
 
-// Guards against overloading an endpoint that has just restarted while most others are ejected (idle connections
-// dropped, slow handshakes). The subsets of all nodes then widen to the few that are not ejected, the just restarted
-// ones first, and all nodes together would send more than such an endpoint can serve.
+// Guards against overloading an endpoint that has just restarted while most others are ejected, for example because
+// idle connections were dropped and handshakes are slow. The subsets of all nodes then widen to the few that are not
+// ejected, the just restarted ones first, and all nodes together would send more than such an endpoint can serve.
 func TestOnlySubsetNodesSendToWarmingUpEndpoint(t *testing.T) {
 	const nodes = 360
 	senders := 0
