--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -65,8 +65,8 @@
 	return node
 }
 
-// attemptAt returns a request of the node's first class that has one attempt, at the endpoint.
-func attemptAt(node *Balancer, endpoint *endpoint) *request {
+// requestSentTo returns a request of the node's first class that has one attempt, at the endpoint.
+func requestSentTo(node *Balancer, endpoint *endpoint) *request {
 	return &request{class: node.classOrder[0], relativeWork: 1, attempts: []attempt{{endpoint: endpoint}}}
 }
 
--- a/balancer/latency_test.go
+++ b/balancer/latency_test.go
@@ -35,7 +35,7 @@
 		if i%2 == 1 {
 			latency = 120 * time.Millisecond
 		}
-		node.recordOutcome(endpoint, attemptAt(node, endpoint), AttemptEnded{Elapsed: latency})
+		node.recordOutcome(endpoint, requestSentTo(node, endpoint), AttemptEnded{Elapsed: latency})
 	}
 	if fast, slow := latencies(6, 7); slow < 2*fast {
 		t.Errorf("expected latency %.3f s on the fast machine type, %.3f s on the slow one, want about three times as much",
--- a/balancer/objective_test.go
+++ b/balancer/objective_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// patience is how long a client of these tests waits.
-const patience = 2 * time.Second
+// clientTimeout is how long a client of these tests waits.
+const clientTimeout = 2 * time.Second
 
 // classesWithoutObjective has the only class of the settings for two cases: class "page" without a latency objective,
 // and another class, so that "page" is missing from the settings.
 var classesWithoutObjective = map[string]Class{
-	"no objective": {Name: "page", PriorityWeight: 1, Deadline: patience, Idempotency: Idempotent},
-	"unknown":      {Name: "another", PriorityWeight: 1, Deadline: patience, Idempotency: Idempotent},
+	"no objective": {Name: "page", PriorityWeight: 1, Deadline: clientTimeout, Idempotency: Idempotent},
+	"unknown":      {Name: "another", PriorityWeight: 1, Deadline: clientTimeout, Idempotency: Idempotent},
 }
 
 // newNodeWithoutObjective returns a node that has learned, and whose requests of class "page" have no latency
@@ -42,7 +42,7 @@
 	for name, class := range classesWithoutObjective {
 		node := newNodeWithoutObjective(class)
 		node.eject(node.endpoints[0], "test")
-		actions := node.Handle(node.now+time.Minute, RequestArrived{ID: "q", Class: "page", Timeout: patience})
+		actions := node.Handle(node.now+time.Minute, RequestArrived{ID: "q", Class: "page", Timeout: clientTimeout})
 		sent := false
 		for _, action := range actions {
 			send, ok := action.(Send)
@@ -50,9 +50,9 @@
 				continue
 			}
 			sent = true
-			if send.Timeout <= 0 || send.Timeout > patience/2 {
+			if send.Timeout <= 0 || send.Timeout > clientTimeout/2 {
 				t.Errorf("%s: a trial request has a timeout of %v, want more than 0 and at most half of %v",
-					name, send.Timeout, patience)
+					name, send.Timeout, clientTimeout)
 			}
 		}
 		if !sent {
@@ -66,10 +66,10 @@
 func TestAttemptTimeoutWithoutObjective(t *testing.T) {
 	for name, class := range classesWithoutObjective {
 		node := newNodeWithoutObjective(class)
-		node.Handle(node.now, RequestArrived{ID: "q", Class: "page", Timeout: patience})
+		node.Handle(node.now, RequestArrived{ID: "q", Class: "page", Timeout: clientTimeout})
 		request := node.requests["q"]
-		if got := node.attemptTimeout(request, node.endpoints[0]); got <= 0 || got > patience/2 {
-			t.Errorf("%s: an attempt has a timeout of %v, want more than 0 and at most half of %v", name, got, patience)
+		if got := node.attemptTimeout(request, node.endpoints[0]); got <= 0 || got > clientTimeout/2 {
+			t.Errorf("%s: an attempt has a timeout of %v, want more than 0 and at most half of %v", name, got, clientTimeout)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 func TestFastFailureCountsAsSlowWithoutObjective(t *testing.T) {
 	for name, class := range classesWithoutObjective {
 		node := newNodeWithoutObjective(class)
-		node.Handle(node.now, RequestArrived{ID: "q", Class: "page", Timeout: patience})
+		node.Handle(node.now, RequestArrived{ID: "q", Class: "page", Timeout: clientTimeout})
 		endpoint := node.requests["q"].attempts[0].endpoint
 		before := node.latencyOf(endpoint)
 		node.Handle(node.now, AttemptEnded{ID: "q", Endpoint: endpoint.ID, Elapsed: time.Millisecond, Outcome: ServerError})
@@ -116,7 +116,7 @@
 		for _, endpoint := range node.endpoints {
 			node.eject(endpoint, "test")
 		}
-		actions := node.Handle(node.now, RequestArrived{ID: "q", Class: "page", Timeout: patience})
+		actions := node.Handle(node.now, RequestArrived{ID: "q", Class: "page", Timeout: clientTimeout})
 		reject, ok := actions[0].(Reject)
 		if !ok || reject.RetryAfter <= 0 || reject.RetryAfter > time.Second {
 			t.Errorf("%s: actions %v, want first a rejection with a Retry-After time above 0 and of at most 1 s", name, actions)
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -24,7 +24,7 @@
 		endpoint.machineType.recentLatency.mean = 0.1
 		endpoint.excessLatency.value = 0
 		outcome := AttemptEnded{Outcome: TimedOut, Elapsed: time.Second, SinceSent: c.sinceSent}
-		node.recordOutcome(endpoint, attemptAt(node, endpoint), outcome)
+		node.recordOutcome(endpoint, requestSentTo(node, endpoint), outcome)
 		overloaded := node.updateMode(node.placements[0], endpoint) == Overloaded
 		if overloaded != c.conclusive || (endpoint.consecutiveFailures > 0) != c.conclusive {
 			t.Errorf("%v without a response: overloaded %v, %d failures; want conclusive %v",
@@ -40,7 +40,7 @@
 	for _, outcome := range []Outcome{ServerError, TimedOut, ConnectFailed} {
 		node := newAggregatedNode(t)
 		endpoint := node.placements[0].subset[0]
-		request := attemptAt(node, endpoint)
+		request := requestSentTo(node, endpoint)
 		request.trial = true
 		for range minUnansweredSends + minConsecutiveFailures {
 			endpoint.unansweredSends++
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -124,7 +124,7 @@
 	node := newAggregatedNode(t)
 	placement := node.placements[0]
 	slow, full := placement.subset[0], placement.subset[1]
-	timedOut := attemptAt(node, slow)
+	timedOut := requestSentTo(node, slow)
 	node.impose(full, Blocked, modeValidity)
 	for _, endpoint := range []*endpoint{slow, full} {
 		node.recordOutcome(endpoint, timedOut, AttemptEnded{Outcome: TimedOut, Elapsed: time.Second})
@@ -199,7 +199,7 @@
 	fast, slow := node.endpointsByID[1], node.endpointsByID[2]
 	respond := func(endpoint *endpoint, latency time.Duration) {
 		node.now += 5 * time.Millisecond
-		node.recordOutcome(endpoint, attemptAt(node, endpoint), AttemptEnded{Elapsed: latency})
+		node.recordOutcome(endpoint, requestSentTo(node, endpoint), AttemptEnded{Elapsed: latency})
 		node.refreshSubsets()
 	}
 	for range 2000 { // both respond equally often
