--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -113,7 +113,7 @@
 	}
 	node.now += modeValidity
 	if node.updateMode(placement, rejecting) != Normal {
-		t.Error("the imposed mode did not lapse after modeValidity")
+		t.Error("the imposed mode did not expire after modeValidity")
 	}
 }
 
@@ -124,7 +124,7 @@
 	node := newAggregatedNode(t)
 	placement := node.placements[0]
 	slow, full := placement.subset[0], placement.subset[1]
-	timedOut := attemptAt(node, slow)
+	timedOut := requestSentTo(node, slow)
 	node.impose(full, Blocked, modeValidity)
 	for _, endpoint := range []*endpoint{slow, full} {
 		node.recordOutcome(endpoint, timedOut, AttemptEnded{Outcome: TimedOut, Elapsed: time.Second})
@@ -143,7 +143,7 @@
 	}
 	node.now += timeoutModeValidity
 	if node.updateMode(placement, slow) != Normal {
-		t.Error("the mode imposed by the timeout did not lapse after timeoutModeValidity")
+		t.Error("the mode imposed by the timeout did not expire after timeoutModeValidity")
 	}
 }
 
@@ -199,7 +199,7 @@
 	fast, slow := node.endpointsByID[1], node.endpointsByID[2]
 	respond := func(endpoint *endpoint, latency time.Duration) {
 		node.now += 5 * time.Millisecond
-		node.recordOutcome(endpoint, attemptAt(node, endpoint), AttemptEnded{Elapsed: latency})
+		node.recordOutcome(endpoint, requestSentTo(node, endpoint), AttemptEnded{Elapsed: latency})
 		node.refreshSubsets()
 	}
 	for range 2000 { // both respond equally often
