--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -11,9 +11,9 @@
 
 const (
 	minAcceptBackoff = time.Millisecond      // pause after the first failed Accept; doubles with each further failure
-	maxAcceptBackoff = 20 * time.Millisecond // longest pause: the timeouts of queued requests keep running
+	maxAcceptBackoff = 20 * time.Millisecond // longest pause; short, as the timeouts of queued requests keep running
 	emptyQueueWait   = time.Millisecond      // an Accept that blocks for at least this long found its queue empty
-	queueDrainTime   = time.Second           // after a failure; by then everything queued meanwhile has been accepted
+	queueDrainTime   = time.Second           // after the last failure; what was queued meanwhile is accepted by then
 )
 
 // acceptor accepts connections from a listener and retries transient failures.
@@ -27,7 +27,7 @@
 
 	failingSince  time.Time // start of the current series of failures; zero: none, or the queue has been empty since
 	lastFailure   time.Time // the last failure of that series
-	slotWaitSince time.Time // start of the last wait for a slot; zero: since then, queue empty or connection accepted
+	slotWaitSince time.Time // start of the wait for a slot since the last accept; zero: none, or queue empty since
 }
 
 // acceptNext accepts a connection. Everything received on the connection so far
--- a/internal/node/arrival.go
+++ b/internal/node/arrival.go
@@ -7,7 +7,7 @@
 	"bankshift/internal/sockets"
 )
 
-// lastReceivedAt returns when the bytes that net/http has read last arrived.
+// lastReceivedAt returns the arrival time of the bytes that net/http has read last.
 // Whatever net/http has parsed of them was sent at that time or earlier.
 func (c *clientConn) lastReceivedAt() time.Time {
 	c.mu.Lock()
@@ -21,10 +21,10 @@
 
 // arrivalTime returns when the bytes that have just been read from Conn arrived
 // at this machine. They may have waited there, in the listener's queue or while
-// the process was not running, and the client's timeout has been running since.
+// the process was paused, and the client's timeout has been running since.
 // The caller holds c.mu.
 func (c *clientConn) arrivalTime() time.Time {
-	// Taken first: if the process is delayed after this line, the result is too early,
+	// Taken first: if the process is paused after this line, the result is too early,
 	// not too late.
 	now := time.Now()
 	if age := sockets.SinceLastReceived(c.Conn); age > 0 {
--- a/internal/node/arrival_test.go
+++ b/internal/node/arrival_test.go
@@ -22,7 +22,7 @@
 )
 
 // TestUnreadTimeReducesDeadline guards against ignoring the time for which a
-// request has been waiting unread because the process was delayed. The deadline
+// request has been waiting unread because the process was paused. The deadline
 // sent to the backend must not exceed what is left of the client's timeout.
 func TestUnreadTimeReducesDeadline(t *testing.T) {
 	const clientTimeout = 3 * time.Second
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -16,7 +16,7 @@
 	endpoint  balancer.EndpointID
 	startedAt time.Time
 	elapsed   time.Duration // from startedAt to the end; set when the attempt has ended
-	sinceSent time.Duration // from the request's last byte sent to the end; set with elapsed, 0 if it was not sent
+	sinceSent time.Duration // from when the request's last byte was sent to the end; 0 if it was not sent
 	result    upstream.Result
 }
 
@@ -56,7 +56,7 @@
 	}()
 }
 
-// rejectAttempt reports to the balancer that an attempt is not made. The report is
+// reportNotSent reports to the balancer that an attempt is not made. The report is
 // queued behind the event that is being handled.
 func (n *Node) rejectAttempt(a *attempt) {
 	n.pendingEvents = append(n.pendingEvents, balancer.AttemptEnded{
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestDeadlineSentIsTimeLeft guards against a deadline sent with a request that is
-// longer than the time left to the client or to the attempt, because the connection
-// took a while to be established.
+// TestDeadlineSentIsTimeLeft guards against sending a deadline that is longer than
+// the time left to the client or to the attempt, because the connection took a while
+// to be established.
 func TestDeadlineSentIsTimeLeft(t *testing.T) {
 	const clientTimeout = 2 * testTimeout
 	requests := make(chan *http.Request, 10)
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -53,8 +53,8 @@
 	// servedBefore: the connection has carried a request.
 	servedBefore bool
 
-	// receivedAt is when the bytes that net/http has read last arrived. The
-	// single byte by which net/http monitors the connection during an open
+	// receivedAt is the arrival time of the bytes that net/http has read last.
+	// The single byte by which net/http monitors the connection during an open
 	// request does not count, because it begins a later request.
 	receivedAt time.Time
 
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -198,18 +198,18 @@
 					if err == nil && resp.StatusCode == http.StatusOK {
 						return
 					}
-					if stalled() < busy { // after a longer stall the test itself sent the parts late
+					if stalled() < busy { // after a longer pause the test itself sent the parts late
 						t.Fatalf("%v, %v; want 200", resp, err)
 					}
 				}
-				t.Errorf("not served in %d tries, in each of which this process stalled for over %v", tries, busy)
+				t.Errorf("not served in %d tries, in each of which this process was paused for over %v", tries, busy)
 			})
 		}
 	}
 }
 
 // TestIncompleteRequestsTimeOut guards against a head or a body that never ends
-// and keeps its connection open: the node gives it up within 3 s.
+// and keeps its connection open: the node must end it within 3 s.
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	backend, got, _ := startStallingBackend(t)
 	n := startNode(t, backend)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -25,7 +25,7 @@
 const (
 	minSockets      = 64  // with fewer, a node cannot serve
 	reservedSockets = 48  // for discovery, the listener and the runtime
-	clientShare     = 0.5 // part of the others that is for clients' connections; the rest is for those to endpoints
+	clientShare     = 0.5 // share of the remaining ones for client connections; the rest is for those to endpoints
 )
 
 const (
@@ -163,7 +163,7 @@
 		return balancer.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	// The protocol on sockets has neither health checks nor gossip. A request that
-	// waits for a health check would never be sent, and be rejected in the end.
+	// waits for a health check would never be sent, and would be rejected in the end.
 	s.HealthChecksAllowed = false
 	s.GossipAllowed = false
 	return s, nil
--- a/internal/node/connlimit.go
+++ b/internal/node/connlimit.go
@@ -165,8 +165,8 @@
 type clientConnKey struct{}
 
 // connContext returns the context for the requests of a connection. It is
-// canceled when the client is found to have disconnected, or has sent too much
-// after an open request. It is an http.Server.ConnContext hook.
+// canceled when the client is found to have disconnected, or has exceeded the
+// read-ahead limit after an open request. It is an http.Server.ConnContext hook.
 func (l *connectionLimiter) connContext(ctx context.Context, c net.Conn) context.Context {
 	conn, ok := c.(*clientConn)
 	if !ok {
--- a/internal/node/disconnect.go
+++ b/internal/node/disconnect.go
@@ -10,8 +10,8 @@
 // If a client has sent more after a request, the request waits until those bytes
 // have been read ahead, because the end of the connection may follow them.
 const (
-	disconnectPollInterval = time.Millisecond      // delay for a client that has sent its next request early
-	maxDisconnectWait      = 20 * time.Millisecond // maxReadAhead is read far sooner, and some deadlines are short
+	disconnectPollInterval = time.Millisecond      // also the delay of a request if more bytes follow it already
+	maxDisconnectWait      = 20 * time.Millisecond // reading maxReadAhead takes far less, and some deadlines are short
 )
 
 // clientDisconnected reports whether the client has disconnected by the time
@@ -25,7 +25,7 @@
 			return true
 		}
 		if !unread || waited >= maxDisconnectWait || !sockets.Sleep(ctx, disconnectPollInterval) {
-			return ctx.Err() != nil // disconnected while its earlier requests were served, or was aborted
+			return ctx.Err() != nil // client disconnected during an earlier request, or the connection was aborted
 		}
 	}
 }
@@ -40,7 +40,7 @@
 
 // checkDisconnected reports whether the client has ended its connection, and
 // whether there are unread bytes. It asks the kernel for the connection's state
-// only if there are: otherwise a read would find the end just as well.
+// only if there are unread bytes: without them, Peek itself detects the end.
 func (c *clientConn) checkDisconnected() (disconnected, unread bool) {
 	n, err := sockets.Peek(c.Conn)
 	unread = n > 0
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -68,9 +68,9 @@
 }
 
 // TestClientDisconnectsWhileDialing guards against sending a request whose
-// client has disconnected while the connection to the backend was being opened.
-// Such an attempt is canceled even if the settings do not allow canceling work,
-// and even if the event loop is busy.
+// client has disconnected while the connection to the backend was being
+// established. Such an attempt is canceled even if the settings do not allow
+// canceling work, and even if the event loop is busy.
 func TestClientDisconnectsWhileDialing(t *testing.T) {
 	for _, busy := range []bool{false, true} {
 		t.Run(fmt.Sprintf("busy %v", busy), func(t *testing.T) {
@@ -286,8 +286,8 @@
 }
 
 // TestDisconnectDetectedBeforeSend guards against sending a request whose
-// client disconnects while a connection to the backend is being opened, if no
-// reader has seen the disconnect yet.
+// client disconnects while a connection to the backend is being established, if
+// no read has returned the disconnect yet.
 func TestDisconnectDetectedBeforeSend(t *testing.T) {
 	for name, disconnect := range map[string]func(c testClient){
 		"closed": func(c testClient) { c.Close() },
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -7,9 +7,9 @@
 	"bankshift/internal/discovery"
 )
 
-// newDiscoveryClient returns a client of discovery at an address, which the caller
-// runs. What it reports is ignored unless it is n.discovery, the current client: a
-// reload replaces it.
+// newDiscoveryClient returns a client of the discovery at address; the caller runs
+// it. Its reports are ignored unless it is n.discovery, the current client, which a
+// reload replaces.
 func (n *Node) newDiscoveryClient(address string) *discovery.Client {
 	n.discoveryClients++
 	jitter := rand.New(rand.NewPCG(uint64(n.cfg.Seed), n.discoveryClients)) // each client has its own sequence
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -60,8 +60,8 @@
 // TestPollOnDemandHangsAfterFailure guards against a node that learns of changes too
 // late after an outage of discovery. Where the endpoint list is polled on demand,
 // the poll after a failed one may hang beyond the end of the outage, so it must not
-// be a long poll: the node has to know the list within 6 s less the drain grace of
-// discovery's return.
+// be a long poll: after discovery's return, the node has to know the list within 6 s
+// less the drain grace.
 func TestPollOnDemandHangsAfterFailure(t *testing.T) {
 	hung, broken := make(chan bool, 1), make(chan bool, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -20,9 +20,9 @@
 	firstRequestTimeout = 2800 * time.Millisecond // for the whole first request, from the accept
 
 	// idleTimeout is for a connection between requests. The start of the next request
-	// may already be in net/http's buffer. As it has been read before, it starts no
-	// requestReadTimeout, so until net/http begins to parse that request, idleTimeout
-	// is what ends it within the 3 s that stalled requests are allowed.
+	// may already be in net/http's buffer. These bytes were read earlier, so they start
+	// no requestReadTimeout: until net/http begins to parse that request, only
+	// idleTimeout ends it within the 3 s that stalled requests are allowed.
 	idleTimeout = 2800 * time.Millisecond
 )
 
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// delayVisibly waits for long enough that the deadline sent to a backend shows it.
+// delayVisibly waits long enough for the delay to show in the deadline sent to a backend.
 func delayVisibly() { time.Sleep(60 * time.Millisecond) }
 
 func isTimeout(err error) bool {
@@ -43,8 +43,8 @@
 	return ok && netErr.Timeout()
 }
 
-// watchStalls measures the longest time for which this process was not scheduled. It
-// contains the node and the client, so a test's measurements can be late by that.
+// watchPauses measures the longest time for which this process was paused. The node and
+// the client run in it, so a test's measurements can be late by that time.
 func watchStalls(t *testing.T) (longest func() time.Duration) {
 	const step = 5 * time.Millisecond
 	var longestStall atomic.Int64
--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -67,8 +67,8 @@
 	}, nil
 }
 
-// requestReceivedAt returns when the bytes from which the request's head was
-// read arrived.
+// requestReceivedAt returns the arrival time of the bytes from which the request's
+// head was read.
 func requestReceivedAt(r *http.Request) time.Time {
 	if c, ok := r.Context().Value(clientConnKey{}).(*clientConn); ok {
 		return c.lastReceivedAt()
--- a/internal/node/parse_test.go
+++ b/internal/node/parse_test.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// plainRequests and unusualRequests are two requests each, as formats that lack
-// the IDs. The heads of unusualRequests have unusual but valid forms.
+// plainRequests and unusualRequests are two requests each, as format strings with
+// a verb for each ID. The heads of unusualRequests have unusual but valid forms.
 const (
 	plainRequests = "POST /api/x?a=1 HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: pedido\r\nX-Deadline: 60\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\nrent" +
 		"GET /api/y HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: saldo\r\nX-Deadline: 60.000\r\n\r\n"
@@ -112,7 +112,7 @@
 // response, wherever the reads are split and in each form that a head may have.
 func TestRequestsReadInPieces(t *testing.T) {
 	backend, executions := startCountingBackend(t)
-	// If attempts must not be canceled, none is given up when this machine is briefly slow.
+	// Without CancelAllowed the node abandons no attempt when this machine is briefly slow.
 	n := startNodeWithReuseDelay(t, 0, func(s *balancer.Settings) { s.CancelAllowed = false }, backend)
 	for name, text := range map[string]string{
 		"plain":        plainRequests,
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// SIGKILL may follow SIGTERM after the longest deadline of all classes, or after
-// maxKillDelay if that is shorter, plus killSlack.
+// SIGKILL may follow SIGTERM after the longest deadline of all classes, but at most
+// maxKillDelay, plus killSlack.
 const (
 	maxKillDelay = 3 * time.Second
 	killSlack    = 700 * time.Millisecond
@@ -15,11 +15,11 @@
 
 // Division of the time from SIGTERM to SIGKILL.
 const (
-	lastResponseMargin = 300 * time.Millisecond // from the last response to SIGKILL; a busy node takes a while to write it
+	lastResponseMargin = 300 * time.Millisecond // from the last response to SIGKILL; a busy node is slow to write it
 	exitMargin         = 150 * time.Millisecond // from the node's exit to SIGKILL
 	lateConnectTime    = 450 * time.Millisecond // new connections still arrive for 0.2 to 0.4 s after SIGTERM
-	minAcceptTime      = 600 * time.Millisecond // lateConnectTime plus 0.15 s for which the node may be stalled meanwhile
-	lastRequestsTime   = time.Second            // for the last requests after clients are asked to close, if there is time
+	minAcceptTime      = 600 * time.Millisecond // lateConnectTime plus 0.15 s for which the node may be paused
+	lastRequestsTime   = time.Second            // for the last requests once clients are asked to close, if time allows
 )
 
 const (
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -16,9 +16,9 @@
 	"time"
 )
 
-// TestShutdownDuringStall guards against connections that are cut off without a
+// TestShutdownDuringPause guards against connections that are cut off without a
 // response during a shutdown. New connections arrive for up to 0.4 s after the stop
-// signal, and the node is stalled for 0.15 s at that time. All of them have to be
+// signal, and the node is paused for 0.15 s at that time. All of them have to be
 // answered or rejected.
 func TestShutdownDuringStall(t *testing.T) {
 	for _, longest := range []time.Duration{100 * time.Millisecond, time.Second, 10 * time.Second} {
@@ -209,9 +209,9 @@
 }
 
 // TestShutdownPhasesEndBeforeKill guards against a node that is killed before it has
-// shut down, or that asks clients to close too early. SIGKILL may come 0.7 s after
-// the longest deadline, or after 3 s and 0.7 s if that is earlier. New connections
-// arrive for up to 0.4 s after the stop signal.
+// shut down, or that asks clients to close too early. SIGKILL may come after the
+// longest deadline, but at most 3 s, plus 0.7 s, and new connections arrive for up to
+// 0.4 s, both counted from the stop signal.
 func TestShutdownPhasesEndBeforeKill(t *testing.T) {
 	for _, longest := range []time.Duration{0, 50 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond,
 		3 * time.Second, 4096 * time.Millisecond, time.Minute} {
--- a/internal/node/testconn_test.go
+++ b/internal/node/testconn_test.go
@@ -74,8 +74,8 @@
 }
 
 // lateEndListener is a listener whose connections report their end or an error only
-// after release is closed. This simulates a process that stalls after a read has
-// found the end.
+// after release is closed. This simulates a process that is paused after a read
+// has found the end.
 type lateEndListener struct {
 	net.Listener
 	release chan struct{}
@@ -103,7 +103,7 @@
 }
 
 // lateReadListener is a listener whose connections return what they have read only
-// after a delay. This simulates a process that stalls after a read.
+// after a delay. This simulates a process that is paused after a read.
 type lateReadListener struct {
 	net.Listener
 	delay *atomic.Int64 // a time.Duration
@@ -137,7 +137,7 @@
 
 func (c interruptedConn) Read(b []byte) (int, error) {
 	c.beforeRead()
-	c.TCPConn.SetReadDeadline(time.Now().Add(testTimeout)) // simulates bytes that arrived before beforeRead set a deadline
+	c.TCPConn.SetReadDeadline(time.Now().Add(testTimeout)) // as if bytes had arrived before beforeRead set a deadline
 	return c.TCPConn.Read(b)
 }
 
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -200,7 +200,7 @@
 }
 
 // disconnect closes c, which has to be the only open connection, and waits until the
-// node has noticed it.
+// node has closed its side too.
 func (n *testNode) disconnect(t *testing.T, c testClient) {
 	t.Helper()
 	c.Close()
