--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -40,7 +40,7 @@
 	overlaps := r.runningAttempts > 0 && !n.cfg.Settings.HedgingAllowed
 	if r.answered || overlaps {
 		cancel()
-		n.rejectAttempt(a)
+		n.reportNotSent(a)
 		return
 	}
 	r.runningAttempts++
@@ -58,7 +58,7 @@
 
 // reportNotSent reports to the balancer that an attempt is not made. The report is
 // queued behind the event that is being handled.
-func (n *Node) rejectAttempt(a *attempt) {
+func (n *Node) reportNotSent(a *attempt) {
 	n.pendingEvents = append(n.pendingEvents, balancer.AttemptEnded{
 		ID:          a.request.id(),
 		Attempt:     a.number,
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -72,7 +72,7 @@
 	}
 	n := startNodeWith(t, func(s *balancer.Settings) { s.HedgingAllowed, s.ConnectTimeout = true, clientTimeout },
 		startBackend(t, serve), startBackend(t, serve), startBackend(t, serve))
-	begun, up := blockDials(n.dials)
+	begun, allowDial := blockDials(n.dials)
 	c := n.dial(t)
 	c.sendGet(t, "saldo", "q", strconv.FormatFloat(clientTimeout.Seconds(), 'f', 3, 64))
 	receive(t, begun, "the first connection")
@@ -81,7 +81,7 @@
 		t.Helper()
 		delayVisibly()
 		left := timeout - time.Since(from) // at most; less when the first byte is sent
-		up <- struct{}{}
+		allowDial <- struct{}{}
 		if d := deadlineOf(t, receive(t, requests, "the attempt")); d > left {
 			t.Errorf("%s attempt: sent with a deadline of %v, and at most %v was left", name, d, left)
 		}
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -147,7 +147,7 @@
 				for _, more := range []int{0, 10} { // bytes that are sent 1.5 s later
 					t.Run(fmt.Sprintf("served %v, pause %v, %d and %d bytes", served, pause, first, more), func(t *testing.T) {
 						t.Parallel()
-						stalled := watchStalls(t)
+						longestPause := watchPauses(t)
 						c, from := n.connectAt(t, served)
 						time.Sleep(pause)
 						if served {
@@ -159,7 +159,7 @@
 							io.WriteString(c, text[first:first+more])
 						}
 						resp, err := http.ReadResponse(c.read, nil)
-						if took := time.Since(from); took > rejectionLimit+stalled() || err == nil && resp.StatusCode < 400 || isTimeout(err) {
+						if took := time.Since(from); took > rejectionLimit+longestPause() || err == nil && resp.StatusCode < 400 || isTimeout(err) {
 							t.Errorf("%v, %v after %v, want an error or a close within %v", resp, err, took, rejectionLimit)
 						}
 					})
@@ -182,9 +182,9 @@
 			t.Run(fmt.Sprintf("served %v, %d bytes first", served, first), func(t *testing.T) {
 				t.Parallel()
 				const tries = 5
-				const busy = 100 * time.Millisecond
+				const maxPause = 100 * time.Millisecond
 				for range tries {
-					stalled := watchStalls(t)
+					longestPause := watchPauses(t)
 					c, _ := n.connectAt(t, served)
 					limit := firstByteTimeout
 					if served {
@@ -198,11 +198,11 @@
 					if err == nil && resp.StatusCode == http.StatusOK {
 						return
 					}
-					if stalled() < busy { // after a longer pause the test itself sent the parts late
+					if longestPause() < maxPause { // after a longer pause the test itself sent the parts late
 						t.Fatalf("%v, %v; want 200", resp, err)
 					}
 				}
-				t.Errorf("not served in %d tries, in each of which this process was paused for over %v", tries, busy)
+				t.Errorf("not served in %d tries, in each of which this process was paused for over %v", tries, maxPause)
 			})
 		}
 	}
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -50,7 +50,7 @@
 // canceled the request. The cancel ends the attempt, and the node removes the
 // request.
 func TestClientCancels(t *testing.T) {
-	backend, got, gone := startStallingBackend(t)
+	backend, got, disconnected := startStallingBackend(t)
 	n := startNode(t, backend)
 	ctx, cancel := context.WithCancel(context.Background())
 	failed := make(chan error, 1)
@@ -63,7 +63,7 @@
 	if err := receive(t, failed, "the client"); !errors.Is(err, context.Canceled) {
 		t.Errorf("the client got %v", err)
 	}
-	receive(t, gone, "the attempt's end")
+	receive(t, disconnected, "the attempt's end")
 	waitUntil(t, "the request to be removed", func() bool { return n.openRequests(t) == 0 })
 }
 
@@ -76,20 +76,20 @@
 		t.Run(fmt.Sprintf("busy %v", busy), func(t *testing.T) {
 			address, got := startRecordingBackend(t)
 			n := startNodeWith(t, func(s *balancer.Settings) { s.CancelAllowed, s.MinEventInterval = false, time.Hour }, address)
-			begun, up := blockDials(n.dials)
+			begun, allowDial := blockDials(n.dials)
 			c := n.dial(t)
 			c.sendGet(t, "saldo", "q", "60")
 			receive(t, begun, "the connection to begin")
 			if busy {
 				release := n.blockLoop(t)
 				n.disconnect(t, c)
-				close(up)
+				close(allowDial)
 				waitUntil(t, "the attempt's end", func() bool { return len(n.events) == 2 })
 				release()
 			} else {
 				c.Close()
 				waitUntil(t, "the end of the attempt that waits for its connection", func() bool { return n.openRequests(t) == 0 })
-				close(up)
+				close(allowDial)
 			}
 			n.mustNotSend(t, got, "q")
 		})
@@ -298,13 +298,13 @@
 			ln := lateEndListener{newListener(t), make(chan struct{})}
 			defer close(ln.release)
 			n := startNodeOn(t, ln, func(*Config) {}, address)
-			begun, up := blockDials(n.dials)
+			begun, allowDial := blockDials(n.dials)
 			c := n.dial(t)
 			c.sendGet(t, "saldo", "q", "60")
 			receive(t, begun, "the connection to begin")
 			disconnect(c)
 			delayVisibly()
-			close(up)
+			close(allowDial)
 			n.mustNotSend(t, got, "q")
 		})
 	}
@@ -338,13 +338,13 @@
 // only its sending side. net/http cancels the request's context as for a full
 // close, and would send a 200 if the handler returned without writing.
 func TestHalfClosedClient(t *testing.T) {
-	backend, got, gone := startStallingBackend(t)
+	backend, got, disconnected := startStallingBackend(t)
 	n := startNode(t, backend)
 	c := n.dial(t)
 	c.sendGet(t, "saldo", "q", "60")
 	receive(t, got, "the attempt")
 	c.CloseWrite()
-	receive(t, gone, "the attempt's end")
+	receive(t, disconnected, "the attempt's end")
 	if s := c.status(t); s < 500 {
 		t.Errorf("status %d, want a failure", s)
 	}
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -187,7 +187,7 @@
 	}
 	// With this MinReuseDelay each request needs a new connection.
 	n := startNodeWithReuseDelay(t, time.Hour, func(*balancer.Settings) {}, address)
-	begun, up := blockDials(n.dials)
+	begun, allowDial := blockDials(n.dials)
 	send := func(id string) chan clientResponse {
 		response := make(chan clientResponse, 1)
 		go func() { response <- sendRequest(t, n.request(t, "GET", "saldo", id, "60", nil)) }()
@@ -195,10 +195,10 @@
 		return response
 	}
 	open := send("open")
-	up <- struct{}{}
+	allowDial <- struct{}{}
 	expect("0 open")
 	done := send("done")
-	up <- struct{}{}
+	allowDial <- struct{}{}
 	expect("1 done")
 	receive(t, done, "its response")
 	dialed := send("dialed")
@@ -211,7 +211,7 @@
 		n.postEndpoints(balancer.FullUpdate, fullList...)
 	}
 	expect("1 ends")
-	close(up)
+	close(allowDial)
 	expect("2 ends")
 	if resp := receive(t, dialed, "a response"); resp.status != 200 || receive(t, got, "the request on the other backend") != "dialed" {
 		t.Errorf("the request that was being dialed is answered %d", resp.status)
@@ -261,11 +261,11 @@
 // and waits until the node knows its list.
 func (n *testNode) moveDiscovery(t *testing.T, entries []string) {
 	t.Helper()
-	address, watched, _ := startDiscovery(t, 3, entries...)
+	address, pollStarted, _ := startDiscovery(t, 3, entries...)
 	cfg := n.cfg
 	cfg.Discovery = address
 	n.Reload(cfg)
-	receive(t, watched, "the long poll there") // begins when the node knows the list
+	receive(t, pollStarted, "the long poll there") // begins when the node knows the list
 }
 
 // listOf returns an endpoint list with these entries, each of them in JSON.
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -45,9 +45,9 @@
 
 // watchPauses measures the longest time for which this process was paused. The node and
 // the client run in it, so a test's measurements can be late by that time.
-func watchStalls(t *testing.T) (longest func() time.Duration) {
+func watchPauses(t *testing.T) (longest func() time.Duration) {
 	const step = 5 * time.Millisecond
-	var longestStall atomic.Int64
+	var longestPause atomic.Int64
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
 	go func() {
@@ -58,11 +58,11 @@
 				return
 			}
 			now := time.Now()
-			longestStall.Store(max(longestStall.Load(), int64(now.Sub(last)-step)))
+			longestPause.Store(max(longestPause.Load(), int64(now.Sub(last)-step)))
 			last = now
 		}
 	}()
-	return func() time.Duration { return time.Duration(longestStall.Load()) }
+	return func() time.Duration { return time.Duration(longestPause.Load()) }
 }
 
 // newListener opens a listener on a free port of the loopback address.
--- a/internal/node/readahead_test.go
+++ b/internal/node/readahead_test.go
@@ -16,7 +16,7 @@
 // sends after an open request. Beyond the limit the request is canceled and the
 // connection closed.
 func TestReadAheadIsLimited(t *testing.T) {
-	backend, got, gone := startStallingBackend(t)
+	backend, got, disconnected := startStallingBackend(t)
 	n := startNode(t, backend)
 	c := n.dial(t)
 	c.sendGet(t, "saldo", "q", "60")
@@ -28,7 +28,7 @@
 			}
 		}
 	}()
-	receive(t, gone, "the attempt's end")
+	receive(t, disconnected, "the attempt's end")
 	if _, err := io.Copy(io.Discard, c.read); isTimeout(err) {
 		t.Error("the connection stays open")
 	}
@@ -99,8 +99,8 @@
 func TestLongNextRequest(t *testing.T) {
 	for _, open := range []bool{false, true} {
 		c, client := connectionPair(t)
-		gone := make(chan bool, 1)
-		c.cancelRequests = func() { gone <- true }
+		canceled := make(chan bool, 1)
+		c.cancelRequests = func() { canceled <- true }
 		c.setRequestOpen(open)
 		long := bytes.Repeat([]byte("x"), 2*maxReadAhead)
 		go client.Write(long)
@@ -108,7 +108,7 @@
 			t.Fatalf("reads %d bytes, %v", n, err)
 		}
 		if open {
-			receive(t, gone, "the abort of a client that does not wait for its response")
+			receive(t, canceled, "the abort of a client that does not wait for its response")
 			continue
 		}
 		waitUntil(t, "as much to be read ahead as allowed", func() bool {
@@ -119,7 +119,7 @@
 		if _, err := io.ReadFull(c, make([]byte, len(long)-1)); err != nil {
 			t.Errorf("reading the rest of the long request: %v", err)
 		}
-		if len(gone) > 0 {
+		if len(canceled) > 0 {
 			t.Error("the requests are canceled, though none is open")
 		}
 	}
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -12,18 +12,18 @@
 // late from the old one has to be ignored.
 func TestReloadMovesDiscovery(t *testing.T) {
 	n := startNode(t, refusingAddress(t))
-	first, firstWatched, firstGone := startDiscovery(t, 9, endpointJSON("a", "127.0.0.1:1", "ready"))
+	first, firstPollStarted, firstPollEnded := startDiscovery(t, 9, endpointJSON("a", "127.0.0.1:1", "ready"))
 	second, _, _ := startDiscovery(t, 3, endpointJSON("b", "127.0.0.1:2", "ready"))
 	cfg := n.cfg
 	cfg.Discovery = first
 	n.Reload(cfg)
 	n.awaitEndpoints(t, "[a]")
-	receive(t, firstWatched, "the old long poll") // begins when the node knows the list
+	receive(t, firstPollStarted, "the old long poll") // begins when the node knows the list
 	var late *discovery.Client
 	n.post(func() { late = n.discovery })
 	cfg.Discovery = second
 	n.Reload(cfg)
-	receive(t, firstGone, "the end of the old long poll")
+	receive(t, firstPollEnded, "the end of the old long poll")
 	n.awaitEndpoints(t, "[b]")
 	late.OnUpdate(discovery.List{Version: 10, Snapshot: true})
 	n.awaitEndpoints(t, "[b]")
--- a/internal/node/request_test.go
+++ b/internal/node/request_test.go
@@ -17,7 +17,7 @@
 // response, because the balancer has lost track of its request. The test replaces
 // the balancer by one that does not know the request.
 func TestWatchdogAnswersLostRequest(t *testing.T) {
-	backend, got, gone := startStallingBackend(t)
+	backend, got, disconnected := startStallingBackend(t)
 	n := startNode(t, backend)
 	responses := make(chan clientResponse, 1)
 	go func() { responses <- sendRequest(t, n.request(t, "GET", "saldo", "q", "60", nil)) }()
@@ -29,7 +29,7 @@
 	if a := receive(t, responses, "the response"); a.status != http.StatusGatewayTimeout {
 		t.Errorf("response %+v, want 504", a)
 	}
-	receive(t, gone, "the attempt's end")
+	receive(t, disconnected, "the attempt's end")
 }
 
 // TestWatchdogAsksBalancer guards against a wrong status when the watchdog fires
@@ -39,7 +39,7 @@
 func TestWatchdogAsksBalancer(t *testing.T) {
 	for class, want := range map[string]int{"saldo": http.StatusServiceUnavailable, "pagar": http.StatusBadGateway} {
 		t.Run(class, func(t *testing.T) {
-			backend, got, gone := startStallingBackend(t)
+			backend, got, disconnected := startStallingBackend(t)
 			n := startNode(t, backend)
 			method := map[string]string{"saldo": "GET", "pagar": "POST"}[class]
 			responses := make(chan clientResponse, 1)
@@ -50,7 +50,7 @@
 			if told := a.header.Get("Retry-After") != ""; a.status != want || told != (want == http.StatusServiceUnavailable) {
 				t.Errorf("response %+v, want %d", a, want)
 			}
-			receive(t, gone, "the attempt's end")
+			receive(t, disconnected, "the attempt's end")
 		})
 	}
 }
@@ -58,14 +58,14 @@
 // TestAnsweredByDeadline guards against a request that outlasts its deadline, or is
 // failed long before it, because its backend does not answer.
 func TestAnsweredByDeadline(t *testing.T) {
-	backend, _, gone := startStallingBackend(t)
+	backend, _, disconnected := startStallingBackend(t)
 	n := startNode(t, backend)
 	began := time.Now()
 	got := sendRequest(t, n.request(t, "POST", "pagar", "q", "2", strings.NewReader("x")))
 	if got.status != http.StatusBadGateway || time.Since(began) < 1500*time.Millisecond {
 		t.Errorf("response %+v after %v, want a failure at the deadline", got, time.Since(began))
 	}
-	receive(t, gone, "the attempt's end")
+	receive(t, disconnected, "the attempt's end")
 }
 
 // TestRejectedAtOnce guards against a request that waits for its deadline although
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -20,7 +20,7 @@
 // response during a shutdown. New connections arrive for up to 0.4 s after the stop
 // signal, and the node is paused for 0.15 s at that time. All of them have to be
 // answered or rejected.
-func TestShutdownDuringStall(t *testing.T) {
+func TestShutdownDuringPause(t *testing.T) {
 	for _, longest := range []time.Duration{100 * time.Millisecond, time.Second, 10 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
 			t.Parallel()
