--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -25,7 +25,7 @@
 	net.Conn
 	limiter      *connectionLimiter
 	slotReleased bool      // guarded by limiter.mu
-	acceptedAt   time.Time // set once
+	acceptedAt   time.Time // when Accept had a slot for the connection; set once
 
 	// cancelRequests cancels the contexts of the connection's requests. It is
 	// set once, before the first read.
@@ -204,7 +204,7 @@
 	c.applyDeadline()
 }
 
-// Close closes the connection and gives its slot back.
+// Close closes the connection and releases its slot.
 func (c *clientConn) Close() error {
 	err := c.Conn.Close()
 	c.discardReadAhead()
--- a/internal/node/connlimit.go
+++ b/internal/node/connlimit.go
@@ -177,7 +177,7 @@
 	return ctx
 }
 
-// releaseSlot gives the connection's slot back; further calls have no effect.
+// releaseSlot releases the connection's slot; further calls have no effect.
 // The caller holds c.limiter.mu.
 func (c *clientConn) releaseSlot() {
 	if c.slotReleased {
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -17,7 +17,7 @@
 const (
 	firstByteTimeout    = 2 * time.Second         // for a new connection to start a request
 	requestReadTimeout  = 2500 * time.Millisecond // for a whole request, from its first byte
-	firstRequestTimeout = 2800 * time.Millisecond // for the whole first request, from the accept
+	firstRequestTimeout = 2800 * time.Millisecond // for the whole first request, from when the connection has a slot
 
 	// idleTimeout is for a connection between requests. The start of the next request
 	// may already be in net/http's buffer. These bytes were read earlier, so they start
--- a/internal/node/request_test.go
+++ b/internal/node/request_test.go
@@ -33,7 +33,7 @@
 }
 
 // TestWatchdogAsksBalancer guards against a wrong status when the watchdog fires
-// before the balancer has given the request up by itself: the balancer still has to
+// before the balancer has ended the request by itself: the balancer still has to
 // choose the response, a 503 with Retry-After if the client may repeat the request
 // and a 502 if not.
 func TestWatchdogAsksBalancer(t *testing.T) {
