--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -25,7 +25,7 @@
 	net.Conn
 	limiter      *connectionLimiter
 	slotReleased bool      // guarded by limiter.mu
-	acceptedAt   time.Time // set once
+	acceptedAt   time.Time // when Accept had a slot for the connection; set once
 
 	// cancelRequests cancels the contexts of the connection's requests. It is
 	// set once, before the first read.
@@ -53,8 +53,8 @@
 	// servedBefore: the connection has carried a request.
 	servedBefore bool
 
-	// receivedAt is when the bytes that net/http has read last arrived. The
-	// single byte by which net/http monitors the connection during an open
+	// receivedAt is the arrival time of the bytes that net/http has read last.
+	// The single byte by which net/http monitors the connection during an open
 	// request does not count, because it begins a later request.
 	receivedAt time.Time
 
@@ -204,7 +204,7 @@
 	c.applyDeadline()
 }
 
-// Close closes the connection and gives its slot back.
+// Close closes the connection and releases its slot.
 func (c *clientConn) Close() error {
 	err := c.Conn.Close()
 	c.discardReadAhead()
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -50,7 +50,7 @@
 // canceled the request. The cancel ends the attempt, and the node removes the
 // request.
 func TestClientCancels(t *testing.T) {
-	backend, got, gone := startStallingBackend(t)
+	backend, got, disconnected := startStallingBackend(t)
 	n := startNode(t, backend)
 	ctx, cancel := context.WithCancel(context.Background())
 	failed := make(chan error, 1)
@@ -63,33 +63,33 @@
 	if err := receive(t, failed, "the client"); !errors.Is(err, context.Canceled) {
 		t.Errorf("the client got %v", err)
 	}
-	receive(t, gone, "the attempt's end")
+	receive(t, disconnected, "the attempt's end")
 	waitUntil(t, "the request to be removed", func() bool { return n.openRequests(t) == 0 })
 }
 
 // TestClientDisconnectsWhileDialing guards against sending a request whose
-// client has disconnected while the connection to the backend was being opened.
-// Such an attempt is canceled even if the settings do not allow canceling work,
-// and even if the event loop is busy.
+// client has disconnected while the connection to the backend was being
+// established. Such an attempt is canceled even if the settings do not allow
+// canceling work, and even if the event loop is busy.
 func TestClientDisconnectsWhileDialing(t *testing.T) {
 	for _, busy := range []bool{false, true} {
 		t.Run(fmt.Sprintf("busy %v", busy), func(t *testing.T) {
 			address, got := startRecordingBackend(t)
 			n := startNodeWith(t, func(s *balancer.Settings) { s.CancelAllowed, s.MinEventInterval = false, time.Hour }, address)
-			begun, up := blockDials(n.dials)
+			begun, allowDial := blockDials(n.dials)
 			c := n.dial(t)
 			c.sendGet(t, "saldo", "q", "60")
 			receive(t, begun, "the connection to begin")
 			if busy {
 				release := n.blockLoop(t)
 				n.disconnect(t, c)
-				close(up)
+				close(allowDial)
 				waitUntil(t, "the attempt's end", func() bool { return len(n.events) == 2 })
 				release()
 			} else {
 				c.Close()
 				waitUntil(t, "the end of the attempt that waits for its connection", func() bool { return n.openRequests(t) == 0 })
-				close(up)
+				close(allowDial)
 			}
 			n.mustNotSend(t, got, "q")
 		})
@@ -286,8 +286,8 @@
 }
 
 // TestDisconnectDetectedBeforeSend guards against sending a request whose
-// client disconnects while a connection to the backend is being opened, if no
-// reader has seen the disconnect yet.
+// client disconnects while a connection to the backend is being established, if
+// no read has returned the disconnect yet.
 func TestDisconnectDetectedBeforeSend(t *testing.T) {
 	for name, disconnect := range map[string]func(c testClient){
 		"closed": func(c testClient) { c.Close() },
@@ -298,13 +298,13 @@
 			ln := lateEndListener{newListener(t), make(chan struct{})}
 			defer close(ln.release)
 			n := startNodeOn(t, ln, func(*Config) {}, address)
-			begun, up := blockDials(n.dials)
+			begun, allowDial := blockDials(n.dials)
 			c := n.dial(t)
 			c.sendGet(t, "saldo", "q", "60")
 			receive(t, begun, "the connection to begin")
 			disconnect(c)
 			delayVisibly()
-			close(up)
+			close(allowDial)
 			n.mustNotSend(t, got, "q")
 		})
 	}
@@ -338,13 +338,13 @@
 // only its sending side. net/http cancels the request's context as for a full
 // close, and would send a 200 if the handler returned without writing.
 func TestHalfClosedClient(t *testing.T) {
-	backend, got, gone := startStallingBackend(t)
+	backend, got, disconnected := startStallingBackend(t)
 	n := startNode(t, backend)
 	c := n.dial(t)
 	c.sendGet(t, "saldo", "q", "60")
 	receive(t, got, "the attempt")
 	c.CloseWrite()
-	receive(t, gone, "the attempt's end")
+	receive(t, disconnected, "the attempt's end")
 	if s := c.status(t); s < 500 {
 		t.Errorf("status %d, want a failure", s)
 	}
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// delayVisibly waits for long enough that the deadline sent to a backend shows it.
+// delayVisibly waits long enough for the delay to show in the deadline sent to a backend.
 func delayVisibly() { time.Sleep(60 * time.Millisecond) }
 
 func isTimeout(err error) bool {
@@ -43,11 +43,11 @@
 	return ok && netErr.Timeout()
 }
 
-// watchStalls measures the longest time for which this process was not scheduled. It
-// contains the node and the client, so a test's measurements can be late by that.
-func watchStalls(t *testing.T) (longest func() time.Duration) {
+// watchPauses measures the longest time for which this process was paused. The node and
+// the client run in it, so a test's measurements can be late by that time.
+func watchPauses(t *testing.T) (longest func() time.Duration) {
 	const step = 5 * time.Millisecond
-	var longestStall atomic.Int64
+	var longestPause atomic.Int64
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
 	go func() {
@@ -58,11 +58,11 @@
 				return
 			}
 			now := time.Now()
-			longestStall.Store(max(longestStall.Load(), int64(now.Sub(last)-step)))
+			longestPause.Store(max(longestPause.Load(), int64(now.Sub(last)-step)))
 			last = now
 		}
 	}()
-	return func() time.Duration { return time.Duration(longestStall.Load()) }
+	return func() time.Duration { return time.Duration(longestPause.Load()) }
 }
 
 // newListener opens a listener on a free port of the loopback address.
