--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -59,7 +59,7 @@
 		case 4:
 			<-r.Context().Done() // stalls until the client gives up
 		default: // on a slow machine the first of these responses may come after the timeout
-			fmt.Fprintf(w, `{"index":43,"snapshot":false,"endpoints":[%s]}`, entryJSON("s", "127.0.0.1:1", "draining"))
+			fmt.Fprintf(w, `{"index":43,"snapshot":false,"endpoints":[%s]}`, endpointJSON("s", "127.0.0.1:1", "draining"))
 		}
 	}))
 	defer s.Close()
@@ -145,7 +145,7 @@
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Query().Get("from") {
 		case "":
-			fmt.Fprintf(w, `{"index":7,"snapshot":true,"endpoints":[%s]}`, entryJSON("s", "127.0.0.1:1", "ready"))
+			fmt.Fprintf(w, `{"index":7,"snapshot":true,"endpoints":[%s]}`, endpointJSON("s", "127.0.0.1:1", "ready"))
 			return
 		case "7":
 			select {
@@ -155,7 +155,7 @@
 				<-r.Context().Done()
 				return
 			default: // a later poll: the agent can be reached again
-				fmt.Fprintf(w, `{"index":8,"snapshot":false,"endpoints":[%s]}`, entryJSON("s", "127.0.0.1:1", "draining"))
+				fmt.Fprintf(w, `{"index":8,"snapshot":false,"endpoints":[%s]}`, endpointJSON("s", "127.0.0.1:1", "draining"))
 				return
 			}
 		}
@@ -267,7 +267,7 @@
 		case 1:
 			fmt.Fprint(w, `{"index":1,"snapshot":true,"endpoints":[]}`)
 		case 4:
-			fmt.Fprintf(w, `{"index":2,"snapshot":false,"endpoints":[%s]}`, entryJSON("s", "127.0.0.1:1", "draining"))
+			fmt.Fprintf(w, `{"index":2,"snapshot":false,"endpoints":[%s]}`, endpointJSON("s", "127.0.0.1:1", "draining"))
 		default:
 			<-r.Context().Done()
 			canceled <- true
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -21,7 +21,7 @@
 		}
 		return list
 	}
-	list := makeList(true, entryJSON("b", "127.0.0.1:2", "draining"), `{}`, entryJSON("a", "127.0.0.1:1", "ready"), entryJSON("c", "127.0.0.1:3", "ready"))
+	list := makeList(true, endpointJSON("b", "127.0.0.1:2", "draining"), `{}`, endpointJSON("a", "127.0.0.1:1", "ready"), endpointJSON("c", "127.0.0.1:3", "ready"))
 	update, changes := d.Apply(list, list.Kind())
 	if update.Kind != balancer.FullUpdate || update.Version != 5 || len(update.Endpoints) != 3 {
 		t.Fatalf("update %+v, want a full update of version 5 with 3 endpoints", update)
@@ -40,13 +40,13 @@
 		}
 	}
 
-	list = makeList(false, entryJSON("b", "127.0.0.1:4", "ready"))
+	list = makeList(false, endpointJSON("b", "127.0.0.1:4", "ready"))
 	update, changes = d.Apply(list, list.Kind())
 	if update.Kind != balancer.IncrementalUpdate || len(changes) != 1 || d.Len() != 3 {
 		t.Errorf("after changes to b: update %+v\nchanges %+v", update, changes)
 	}
 
-	list = makeList(true, entryJSON("b", "127.0.0.1:4", "ready"))
+	list = makeList(true, endpointJSON("b", "127.0.0.1:4", "ready"))
 	update, changes = d.Apply(list, list.Kind())
 	if len(update.Endpoints) != 1 || len(changes) != 3 || changes[1].Name != "a" ||
 		changes[1].State != balancer.Removed || changes[2].Name != "c" || fmt.Sprint(d.Names()) != "[b]" {
@@ -60,8 +60,8 @@
 // TestLastEntryOfANameCounts guards against an endpoint that is listed or removed by
 // an earlier entry: the last of several entries for one name must count.
 func TestLastEntryOfANameCounts(t *testing.T) {
-	ready := json.RawMessage(entryJSON("a", "127.0.0.1:1", "ready"))
-	removed := json.RawMessage(entryJSON("a", "", "gone"))
+	ready := json.RawMessage(endpointJSON("a", "127.0.0.1:1", "ready"))
+	removed := json.RawMessage(endpointJSON("a", "", "gone"))
 	for _, c := range []struct {
 		entries []json.RawMessage
 		names   string
@@ -80,7 +80,7 @@
 func BenchmarkDirectoryApply(b *testing.B) {
 	list := List{Snapshot: true}
 	for i := range 1000 {
-		list.Endpoints = append(list.Endpoints, json.RawMessage(entryJSON(fmt.Sprintf("s-%d", i), "127.0.0.1:1", "ready")))
+		list.Endpoints = append(list.Endpoints, json.RawMessage(endpointJSON(fmt.Sprintf("s-%d", i), "127.0.0.1:1", "ready")))
 	}
 	var d Directory
 	b.ReportAllocs()
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -10,7 +10,7 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-func entryJSON(name, address, status string) string {
+func endpointJSON(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m2","group":3,"status":%q,"weight":1.5,"since_ms":7}`, name, address, status)
 }
 
@@ -19,14 +19,14 @@
 // valid without an address.
 func TestMalformedEntriesAreSkipped(t *testing.T) {
 	entries := []string{
-		entryJSON("good", "127.0.0.1:1", "ready"),
+		endpointJSON("good", "127.0.0.1:1", "ready"),
 		`5`,
 		`null`,
 		`{"name":5}`,
-		entryJSON("", "127.0.0.1:1", "ready"),
-		entryJSON("odd", "127.0.0.1:1", "odd"),
-		entryJSON("nowhere", "127.0.0.1", "ready"),
-		entryJSON("left", "", "gone"),
+		endpointJSON("", "127.0.0.1:1", "ready"),
+		endpointJSON("odd", "127.0.0.1:1", "odd"),
+		endpointJSON("nowhere", "127.0.0.1", "ready"),
+		endpointJSON("left", "", "gone"),
 		`{"name":"late","address":"127.0.0.1:1","status":"ready","since_ms":-1}`,
 		`{"name":"light","address":"127.0.0.1:1","status":"ready","weight":-1}`,
 	}
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -38,9 +38,9 @@
 // has succeeded and some are still running. The result of the poll is that of the
 // first request to succeed, or else of the last to fail.
 //
-// The requests run concurrently, so that one that queues at the service in vain does
-// not use up the time of the next, and because a canceled request loses its place in
-// the queue.
+// The requests run concurrently: one that waits in the service's queue and gets no
+// response must not use up the time of the next, and a canceled request loses its
+// place in the queue.
 func (p Poll) RequestTimes() []time.Duration {
 	times := []time.Duration{0}
 	if p.hedgeDelay == 0 {
--- a/internal/lab/emulator/helpers_test.go
+++ b/internal/lab/emulator/helpers_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	longTimeout = 20 * time.Second       // maximum wait for what must happen, even on a busy machine
+	testTimeout = 20 * time.Second       // maximum wait for what must happen, even on a busy machine
 	quietPeriod = 100 * time.Millisecond // how long a test watches for what must not happen
 )
 
@@ -23,7 +23,7 @@
 func checkGoroutineLeaks(t *testing.T) {
 	before := runtime.NumGoroutine()
 	t.Cleanup(func() {
-		for end := time.Now().Add(longTimeout); runtime.NumGoroutine() > before; runtime.Gosched() {
+		for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > before; runtime.Gosched() {
 			if time.Now().After(end) {
 				stacks := make([]byte, 1<<20)
 				t.Fatalf("goroutines leaked:\n%s", stacks[:runtime.Stack(stacks, true)])
@@ -58,7 +58,7 @@
 
 func dial(t *testing.T, addr string) *client {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", addr, longTimeout)
+	c, err := net.DialTimeout("tcp", addr, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 
 func (c *client) wantStatus(t *testing.T, status int) (*http.Response, string) {
 	t.Helper()
-	resp, body, err := c.readResponse(longTimeout)
+	resp, body, err := c.readResponse(testTimeout)
 	if err != nil || resp.StatusCode != status {
 		t.Fatalf("response %v, %v, want %d", resp, err, status)
 	}
@@ -108,18 +108,18 @@
 
 func (c *client) wantError(t *testing.T, want error) {
 	t.Helper()
-	if resp, _, err := c.readResponse(longTimeout); !errors.Is(err, want) {
+	if resp, _, err := c.readResponse(testTimeout); !errors.Is(err, want) {
 		t.Fatalf("response %v, %v, want %v", resp, err, want)
 	}
 }
 
-// waitFor waits until another goroutine has made ok return true. what describes
+// waitUntil waits until another goroutine has made ok return true. what describes
 // that state.
-func waitFor(t *testing.T, what string, ok func() bool) {
+func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(longTimeout); !ok(); runtime.Gosched() {
+	for end := time.Now().Add(testTimeout); !ok(); runtime.Gosched() {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", longTimeout, what)
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 	}
 }
--- a/internal/lab/emulator/registry.go
+++ b/internal/lab/emulator/registry.go
@@ -189,7 +189,7 @@
 	r.withModel(func(now time.Duration) { r.model.SetSilent(now, on) })
 }
 
-// SetIsolated cuts a node off from discovery, or connects it again; see
+// SetIsolated cuts off a node from discovery, or connects it again; see
 // [model.Registry.SetIsolated]. The registry still accepts the node's
 // connections. A call that the model does not answer stays open until the node
 // ends it or the registry is closed.
--- a/internal/lab/emulator/registry_test.go
+++ b/internal/lab/emulator/registry_test.go
@@ -76,7 +76,7 @@
 func (c *registryClient) watch(ctx context.Context, node int, version uint64) <-chan listResponse {
 	c.t.Helper()
 	response := c.call(ctx, node, fmt.Sprintf("?from=%d&hold_ms=60000", version))
-	waitFor(c.t, "the registry holds the call", func() bool { return c.registry.heldCalls() == 1 })
+	waitUntil(c.t, "the registry holds the call", func() bool { return c.registry.heldCalls() == 1 })
 	return response
 }
 
@@ -91,7 +91,7 @@
 // poll, and a malformed query.
 func TestRegistryLists(t *testing.T) {
 	checkGoroutineLeaks(t)
-	ctx, cancel := context.WithTimeout(context.Background(), 3*longTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), 3*testTimeout)
 	defer cancel()
 	c, e := newRegistryClient(t)
 	if l := <-c.call(ctx, 0, ""); l.err != nil || l.Index != 1 || !l.Snapshot || len(l.Endpoints) != 1 || l.Endpoints[0] != e {
@@ -125,7 +125,7 @@
 // node that is cut off while others get new versions.
 func TestRegistryOutages(t *testing.T) {
 	checkGoroutineLeaks(t)
-	ctx, cancel := context.WithTimeout(context.Background(), 3*longTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), 3*testTimeout)
 	defer cancel()
 	c, e := newRegistryClient(t)
 	c.registry.Change(e)
--- a/internal/lab/emulator/request.go
+++ b/internal/lab/emulator/request.go
@@ -147,8 +147,8 @@
 // parseModelRequest returns the model's form of a request, from the headers that
 // describe it and the configured defaults.
 func (s *Server) parseModelRequest(r *http.Request) (model.Request, error) {
-	modelRequest := model.Request{Cost: s.cfg.DefaultWork, Window: s.cfg.DefaultWindow, Key: r.Header.Get("Idempotency-Key")}
-	if err := parseDuration(r.Header, WorkHeader, time.Microsecond, &modelRequest.Cost); err != nil {
+	modelRequest := model.Request{Work: s.cfg.DefaultWork, Window: s.cfg.DefaultWindow, Key: r.Header.Get("Idempotency-Key")}
+	if err := parseDuration(r.Header, WorkHeader, time.Microsecond, &modelRequest.Work); err != nil {
 		return modelRequest, err
 	}
 	if err := parseDuration(r.Header, WindowHeader, time.Millisecond, &modelRequest.Window); err != nil {
--- a/internal/lab/emulator/server_test.go
+++ b/internal/lab/emulator/server_test.go
@@ -45,9 +45,9 @@
 	s.SetDraining(false)
 	slow := dial(t, s.Addr())
 	slow.send(t, "GET", "r6", "X-Lab-Work: 60000000")
-	waitFor(t, "the work begins", func() bool { return s.Stats().Running == 1 && s.Stats().Connections == 2 && s.Stats().Handshakes == 2 })
-	waitFor(t, "the handshake ends", func() bool { return s.Stats().Work >= 80*time.Millisecond })
-	waitFor(t, "the request begins", func() bool { return s.Stats().Running == 1 })
+	waitUntil(t, "the work begins", func() bool { return s.Stats().Running == 1 && s.Stats().Connections == 2 && s.Stats().Handshakes == 2 })
+	waitUntil(t, "the handshake ends", func() bool { return s.Stats().Work >= 80*time.Millisecond })
+	waitUntil(t, "the request begins", func() bool { return s.Stats().Running == 1 })
 	c.send(t, "GET", "r7") // rejected: all cores are busy and QueueLimit is 0
 	c.wantStatus(t, 503)
 	third := dial(t, s.Addr())
@@ -71,12 +71,12 @@
 	busy, idle := dial(t, s.Addr()), dial(t, s.Addr())
 	busy.send(t, "GET", "r1", "X-Lab-Work: 60000000")
 	idle.send(t, "GET", "r2", "X-Lab-Work: 0")
-	waitFor(t, "the work begins", func() bool { st := s.Stats(); return st.Running == 1 && st.Served+st.Rejected == 1 })
-	idle.readResponse(longTimeout)
+	waitUntil(t, "the work begins", func() bool { st := s.Stats(); return st.Running == 1 && st.Served+st.Rejected == 1 })
+	idle.readResponse(testTimeout)
 	s.Kill()
 	busy.wantError(t, syscall.ECONNRESET)
 	idle.wantError(t, syscall.ECONNRESET)
-	if _, err := net.DialTimeout("tcp", s.Addr(), longTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := net.DialTimeout("tcp", s.Addr(), testTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a connection to a killed server: %v, want ECONNREFUSED", err)
 	}
 	s.Start()
@@ -98,7 +98,7 @@
 	s := newServer(t, ServerConfig{ServerConfig: model.ServerConfig{QueueLimit: 9, IdleTimeout: 2 * quietPeriod}})
 	busy, idle := dial(t, s.Addr()), dial(t, s.Addr())
 	busy.send(t, "GET", "r1", "X-Lab-Work: 60000000")
-	waitFor(t, "the work begins", func() bool { st := s.Stats(); return st.Running == 1 && st.Connections == 2 })
+	waitUntil(t, "the work begins", func() bool { st := s.Stats(); return st.Running == 1 && st.Connections == 2 })
 	s.Disconnect()
 	for range 3 {
 		var netErr net.Error
@@ -112,7 +112,7 @@
 		idle.wantNoResponse(t)
 	}
 	s.Kill()
-	if _, err := net.DialTimeout("tcp", s.Addr(), longTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := net.DialTimeout("tcp", s.Addr(), testTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a connection to a machine that is back, without a process: %v, want ECONNREFUSED", err)
 	}
 	busy.wantError(t, syscall.ECONNRESET)
@@ -123,7 +123,7 @@
 	c.send(t, "GET", "r3")
 	c.wantStatus(t, 200)
 	c.wantError(t, io.ErrUnexpectedEOF) // closed after IdleTimeout
-	waitFor(t, "the idle connection is closed", func() bool { return s.Stats().Connections == 0 })
+	waitUntil(t, "the idle connection is closed", func() bool { return s.Stats().Connections == 0 })
 }
 
 // TestHangAndCrash guards against a hung server that responds, and against a
@@ -132,7 +132,7 @@
 func TestHangAndCrash(t *testing.T) {
 	checkGoroutineLeaks(t)
 	s := newServer(t, ServerConfig{DefaultWork: time.Millisecond, ServerConfig: model.ServerConfig{QueueLimit: 9, InitialCapacity: 0.5, WarmupTime: time.Hour,
-		CrashFactor: 4, CrashWindow: time.Hour, CrashDowntime: quietPeriod, MeanCost: time.Hour}})
+		CrashFactor: 4, CrashWindow: time.Hour, CrashDowntime: quietPeriod, MeanWork: time.Hour}})
 	c := dial(t, s.Addr())
 	s.SetHung(true)
 	c.send(t, "GET", "r1")
@@ -145,15 +145,15 @@
 	c = dial(t, s.Addr())
 	c.send(t, "GET", "r3")
 	c.wantStatus(t, 200)
-	// By model.ServerConfig, N is CrashFactor 4 x capacity 0.5 x CrashWindow 1 h / MeanCost
+	// By model.ServerConfig, N is CrashFactor 4 x capacity 0.5 x CrashWindow 1 h / MeanWork
 	// 1 h = 2, so the server survives 6.8 requests of an hour's work within an hour.
 	for i := range 7 {
 		c = dial(t, s.Addr())
 		c.send(t, "GET", fmt.Sprint("load", i), "X-Lab-Work: 3600000000")
-		waitFor(t, "the request reaches the server", func() bool { st := s.Stats(); return st.Running+st.Waiting == i+1 || st.Crashes > 0 })
+		waitUntil(t, "the request reaches the server", func() bool { st := s.Stats(); return st.Running+st.Waiting == i+1 || st.Crashes > 0 })
 	}
 	c.wantError(t, syscall.ECONNRESET)
-	waitFor(t, "the crashed server starts again by itself", func() bool { return s.Stats().Starts == 2 })
+	waitUntil(t, "the crashed server starts again by itself", func() bool { return s.Stats().Starts == 2 })
 	c = dial(t, s.Addr())
 	c.send(t, "GET", "r4")
 	c.wantStatus(t, 200)
@@ -179,13 +179,13 @@
 		c.wantStatus(t, 200)
 	}
 	one.send(t, "GET", "safe", "X-Lab-Work: 60000000")
-	waitFor(t, "the work begins", func() bool { return a.Stats().Running == 1 })
+	waitUntil(t, "the work begins", func() bool { return a.Stats().Running == 1 })
 	two.send(t, "GET", "safe")
 	two.wantStatus(t, 200)
 	canceled.send(t, "POST", "canceled")
-	waitFor(t, "the request waits", func() bool { return a.Stats().Waiting == 1 })
+	waitUntil(t, "the request waits", func() bool { return a.Stats().Waiting == 1 })
 	canceled.Close()
-	waitFor(t, "the server drops the request", func() bool { return a.Stats().Dropped == 1 })
+	waitUntil(t, "the server drops the request", func() bool { return a.Stats().Dropped == 1 })
 	got := executions.Summary()
 	if got.Requests != 4 || got.Copies != 7 || got.Executions != 5 || got.Overlaps != 1 || got.Repeated != 2 || len(got.RepeatedUnsafe) != 1 || got.RepeatedUnsafe[0] != "unsafe" {
 		t.Errorf("summary %+v", got)
--- a/internal/lab/fleet/attempts.go
+++ b/internal/lab/fleet/attempts.go
@@ -17,7 +17,7 @@
 			overlaps += counts.overlaps
 		}
 		if r.Idempotency == load.NotIdempotent && executions > 1 {
-			m.violation("%s is unsafe and ran %d times", r.ID, executions)
+			m.recordViolation("%s is unsafe and ran %d times", r.ID, executions)
 		}
 	}
 	return overlaps
@@ -44,18 +44,18 @@
 		counts.copies += seen.Copies
 		counts.executions += seen.Executions
 		counts.overlaps += seen.Overlaps
-		if x.measured(r) {
+		if x.isMeasured(r) {
 			x.recordCrossings(m.nodes[r.Node].zone, zone, seen.Copies)
 		}
 	}
 	x.windowOf(r).Attempts += counts.copies
-	if x.measured(r) {
+	if x.isMeasured(r) {
 		q := &x.result.Requests
 		q.Attempts += counts.copies
 		q.Retries += max(0, counts.copies-1)
 	}
 	if limit := m.scenario.Fleet.MaxAttempts; counts.copies > limit {
-		m.violation("%s: %d attempts, %d are allowed", id, counts.copies, limit)
+		m.recordViolation("%s: %d attempts, %d are allowed", id, counts.copies, limit)
 	}
 	return counts
 }
--- a/internal/lab/fleet/events.go
+++ b/internal/lab/fleet/events.go
@@ -112,7 +112,7 @@
 func (m *run) scheduleServerAction(step scenario.Step, begin, end func(*server)) {
 	m.schedule(step.At, func() {
 		m.mu.Lock()
-		sv := m.current[step.Index]
+		sv := m.currentServers[step.Index]
 		m.mu.Unlock()
 		begin(sv)
 		if end != nil {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -69,18 +69,18 @@
 	registry     *emulator.Registry
 	steps        sync.WaitGroup // steps of events that are scheduled or in progress
 
-	mu            sync.Mutex
-	timers        []*time.Timer // of the scheduled steps
-	stepsEnded    bool          // no further step may start
-	nodes         []*nodeSlot
-	servers       []*server // all servers of the run, removed ones included
-	current       []*server // by slot: the server that fills it now
-	keyStores     setup.KeyStores
-	executionLogs map[string]*emulator.ExecutionLog // by zone
-	listVersions  int                               // versions of the list that events have published
-	successors    int                               // servers replaced so far
-	eventLog      []string
-	violations    []string
+	mu             sync.Mutex
+	timers         []*time.Timer // of the scheduled steps
+	stepsEnded     bool          // no further step may start
+	nodes          []*nodeSlot
+	servers        []*server // all servers of the run, removed ones included
+	currentServers []*server // by slot: the server that fills it now
+	keyStores      setup.KeyStores
+	executionLogs  map[string]*emulator.ExecutionLog // by zone
+	listVersions   int                               // versions of the list that events have published
+	replacements   int                               // servers replaced so far
+	eventLog       []string
+	violations     []string
 }
 
 // Check returns an error that says why a scenario cannot be run with real
@@ -238,16 +238,16 @@
 	}
 }
 
-// violation records the description of a broken rule. After maxViolations only
-// "and more" is added.
-func (m *run) violation(format string, args ...any) {
+// recordViolation records the description of a broken rule. After maxViolations
+// only "and more" is added.
+func (m *run) recordViolation(format string, args ...any) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.violationLocked(format, args...)
+	m.recordViolationLocked(format, args...)
 }
 
-// violationLocked is violation for callers that hold mu.
-func (m *run) violationLocked(format string, args ...any) {
+// recordViolationLocked is recordViolation for callers that hold mu.
+func (m *run) recordViolationLocked(format string, args ...any) {
 	switch {
 	case len(m.violations) < maxViolations:
 		m.violations = append(m.violations, fmt.Sprintf(format, args...))
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -74,7 +74,7 @@
 deadline = "2s"
 `
 
-func parse(t *testing.T, text string) *scenario.Scenario {
+func parseScenario(t *testing.T, text string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse("test.toml", []byte(text))
 	if err != nil {
@@ -87,7 +87,7 @@
 // result empty. It runs two nodes while servers drain and restart, weights
 // change and one node is killed.
 func TestTwoNodes(t *testing.T) {
-	s := parse(t, smallScenario+`
+	s := parseScenario(t, smallScenario+`
 [[event]]
 at = "1500ms"
 do = "change-lists"
@@ -142,7 +142,7 @@
 		}
 		cancel()
 	}()
-	if _, err := Run(ctx, parse(t, smallScenario), Options{Node: program}); !errors.Is(err, context.Canceled) {
+	if _, err := Run(ctx, parseScenario(t, smallScenario), Options{Node: program}); !errors.Is(err, context.Canceled) {
 		t.Errorf("Run returned %v, want %v", err, context.Canceled)
 	}
 	if after := childProcesses(t); after != before {
@@ -212,13 +212,13 @@
 		func(s *scenario.Scenario) { s.Servers.Count = MaxServers + 1 },
 		func(s *scenario.Scenario) { s.Traffic.Rate = MaxRate + 1 },
 	} {
-		s := parse(t, smallScenario)
+		s := parseScenario(t, smallScenario)
 		change(s)
 		if _, err := Run(t.Context(), s, Options{Node: program}); !errors.Is(err, ErrTooLarge) {
 			t.Errorf("Run returned %v, want %v", err, ErrTooLarge)
 		}
 	}
-	s := parse(t, smallScenario+"[[event]]\nat = \"1s\"\nfor = \"1s\"\ndo = \"cut\"\nzone = \"a\"\n")
+	s := parseScenario(t, smallScenario+"[[event]]\nat = \"1s\"\nfor = \"1s\"\ndo = \"cut\"\nzone = \"a\"\n")
 	if _, err := Run(t.Context(), s, Options{Node: program}); err == nil || !strings.Contains(err.Error(), "cut") {
 		t.Errorf("Run returned %v for a scenario with a network partition, want an error that contains \"cut\"", err)
 	}
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -141,8 +141,8 @@
 	return &x.result.Windows[min(int(r.At/time.Second), len(x.result.Windows)-1)]
 }
 
-// measured reports whether the first try of a request was due after the warm-up.
-func (x *measurement) measured(r *load.Request) bool { return r.At >= x.run.scenario.Warmup.Std() }
+// isMeasured reports whether the first try of a request was due after the warm-up.
+func (x *measurement) isMeasured(r *load.Request) bool { return r.At >= x.run.scenario.Warmup.Std() }
 
 // recordResult counts the outcome of a request. It is the load.Config.Done of
 // the run.
@@ -152,7 +152,7 @@
 	record := &x.requests[i]
 	record.tries = outcome.Tries
 	class := x.run.scenario.Classes[record.class]
-	tally := setup.NewTally(x.windowOf(r), &x.result.Requests, x.measured(r))
+	tally := setup.NewTally(x.windowOf(r), &x.result.Requests, x.isMeasured(r))
 	tally.CountOffered(class, record.withinQuota)
 	tally.Requests.Tries += outcome.Tries
 	switch outcome.Outcome {
@@ -171,7 +171,7 @@
 // recordLatency adds a served request to the latency histograms, unless it
 // belongs to the warm-up.
 func (x *measurement) recordLatency(r *load.Request, class string, outcome load.Result) {
-	if !x.measured(r) {
+	if !x.isMeasured(r) {
 		return
 	}
 	x.latency["all"].Add(outcome.Latency)
@@ -204,7 +204,7 @@
 	r.Cost.NodeMemory = x.memory
 	kills := func(e scenario.Event) bool { return e.Action == scenario.KillNodes }
 	if lost := r.Requests.Lost; lost > 0 && !slices.ContainsFunc(m.scenario.Events, kills) {
-		m.violation("%d requests got no answer by their deadline, though no node was killed", lost)
+		m.recordViolation("%d requests got no answer by their deadline, though no node was killed", lost)
 	}
 	r.Violations = slices.Concat(r.Violations, m.violations, report.Violations)
 	r.FindRecovery(m.scenario)
--- a/internal/lab/fleet/nodes.go
+++ b/internal/lab/fleet/nodes.go
@@ -99,7 +99,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var entries []model.Entry
-	for _, sv := range m.current {
+	for _, sv := range m.currentServers {
 		if sv.entry.Status != model.Removed {
 			entries = append(entries, sv.entry)
 		}
@@ -157,13 +157,13 @@
 	p := n.process()
 	m.mu.Unlock()
 	if err := stop(p); err != nil {
-		m.violation("%v", err)
+		m.recordViolation("%v", err)
 	}
 	if m.sleep(m.scenario.Fleet.RestartTime.Std()) != nil {
 		return
 	}
 	if err := m.startNode(n); err != nil && m.ctx.Err() == nil {
-		m.violation("%v", err)
+		m.recordViolation("%v", err)
 	}
 }
 
@@ -174,14 +174,14 @@
 	for _, n := range m.nodes {
 		p := n.process()
 		if !p.Alive() && n.available {
-			m.violation("%s ended by itself: %v\n%s", p.Name, p.err, p.Log())
+			m.recordViolation("%s ended by itself: %v\n%s", p.Name, p.err, p.Log())
 			continue
 		}
 		stopping.Add(1)
 		go func() {
 			defer stopping.Done()
 			if err := p.Stop(m.ctx); err != nil && n.available {
-				m.violation("%v", err)
+				m.recordViolation("%v", err)
 			}
 		}()
 	}
--- a/internal/lab/fleet/servers.go
+++ b/internal/lab/fleet/servers.go
@@ -28,7 +28,7 @@
 		if err != nil {
 			return err
 		}
-		m.current = append(m.current, sv)
+		m.currentServers = append(m.currentServers, sv)
 		sv.entry.Status = model.Ready
 		entries = append(entries, sv.entry)
 	}
@@ -77,7 +77,7 @@
 	change(&sv.entry)
 	m.listVersions++
 	if err := m.registry.Change(sv.entry); err != nil {
-		m.violationLocked("%v", err)
+		m.recordViolationLocked("%v", err)
 	}
 }
 
@@ -111,7 +111,7 @@
 		return
 	}
 	m.publish(sv, func(e *model.Entry) {
-		e.SinceMS = time.Now().UnixMilli()
+		e.StartedAtMS = time.Now().UnixMilli()
 		if e.Status == "" {
 			e.Status = model.Ready
 		}
@@ -141,16 +141,16 @@
 		sv.process.Kill()
 		m.setStatus(sv, model.Removed)
 		m.mu.Lock()
-		m.successors++
-		number := slot + m.successors*m.scenario.Servers.Count
+		m.replacements++
+		number := slot + m.replacements*m.scenario.Servers.Count
 		m.mu.Unlock()
 		next, err := m.newServer(number)
 		if err != nil {
-			m.violation("%v", err)
+			m.recordViolation("%v", err)
 			return
 		}
 		m.mu.Lock()
-		m.current[slot] = next
+		m.currentServers[slot] = next
 		m.mu.Unlock()
 		m.startServer(next)
 	})
--- a/internal/lab/hollow/attempt.go
+++ b/internal/lab/hollow/attempt.go
@@ -26,7 +26,7 @@
 	endpoint balancer.EndpointID
 	backend  *backend
 	conn     *conn
-	dialing  bool // a connection is being established; pool.open already counts it
+	dialing  bool // a connection is being established; pool.connections already counts it
 	state    attemptState
 	outcome  balancer.Outcome // set when the attempt ends
 
@@ -81,7 +81,7 @@
 		return
 	}
 	a.backend = b
-	if c := n.pool.take(b); c != nil {
+	if c := n.pool.takeIdle(b); c != nil {
 		a.write(c)
 		return
 	}
@@ -221,7 +221,7 @@
 // modelRequest returns the attempt's request in the form that the server's model takes.
 func (a *attempt) modelRequest(id uint64) model.Request {
 	r := a.request
-	modelRequest := model.Request{ID: id, Cost: r.client.arrival.Work}
+	modelRequest := model.Request{ID: id, Work: r.client.arrival.Work}
 	if r.class.Idempotency == scenario.IdempotentByKey {
 		modelRequest.Key = r.client.key
 		modelRequest.Scope = r.class.scope
@@ -291,7 +291,7 @@
 	case a.conn != nil:
 		a.conn.discard()
 	case a.dialing:
-		a.node.pool.open--
+		a.node.pool.connections--
 	}
 	a.report(outcome)
 }
--- a/internal/lab/hollow/client.go
+++ b/internal/lab/hollow/client.go
@@ -78,7 +78,7 @@
 		c.tryEnded(tryFailed, 0)
 		return
 	}
-	n.accept(r, balancer.RequestArrived{
+	n.startRequest(r, balancer.RequestArrived{
 		ID:      r.id,
 		Class:   c.class.Name,
 		Tenant:  c.tenant(),
--- a/internal/lab/hollow/events.go
+++ b/internal/lab/hollow/events.go
@@ -144,7 +144,7 @@
 	})
 }
 
-// isolateNodes disconnects the nodes of the zones in inside from discovery, or connects them again.
+// isolateNodes cuts off the nodes of the zones in inside from discovery, or connects them again.
 func (m *sim) isolateNodes(inside []bool, on bool) {
 	for _, n := range m.nodes {
 		if inside[n.zone] {
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -245,8 +245,8 @@
 
 // send makes the node send the request to server i, as if the balancer had returned that Send.
 func (f *fixture) send(i int) {
-	id, _ := f.node.endpoints.ID(f.currentServers[i].Name)
-	f.node.apply(balancer.Send{ID: f.request.id, Endpoint: id})
+	id, _ := f.node.directory.ID(f.currentServers[i].Name)
+	f.node.perform(balancer.Send{ID: f.request.id, Endpoint: id})
 	f.advance(0)
 }
 
@@ -279,7 +279,7 @@
 	for range 200 {
 		sv.model.Connect(f.now)
 		f.lastModelRequestID++
-		sv.model.Arrive(f.now, nil, model.Request{ID: f.lastModelRequestID, Cost: f.scenario.MeanWork()})
+		sv.model.Arrive(f.now, nil, model.Request{ID: f.lastModelRequestID, Work: f.scenario.MeanWork()})
 		f.checkWarmupLoad(sv, f.node)
 	}
 }
@@ -312,12 +312,12 @@
 		}, "its key is known for"},
 		{"rejection", order, func(f *fixture) {
 			f.send(0)
-			f.node.apply(balancer.Reject{ID: f.request.id})
+			f.node.perform(balancer.Reject{ID: f.request.id})
 		}, "is refused"},
 		{"drain", read, (*fixture).sendToDraining, "told as draining"},
 		{"late response", read, func(f *fixture) {
 			f.request.clientDeadline = f.now - time.Second
-			f.node.apply(balancer.Fail{ID: f.request.id})
+			f.node.perform(balancer.Fail{ID: f.request.id})
 		}, "late"},
 		{"no response", read, func(f *fixture) { f.request.answered = true }, "got no answer"},
 		{"crash during warm-up", read, (*fixture).overloadWarmingUp, "that were told"},
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -42,7 +42,7 @@
 	draining       bool          // a graceful shutdown is under way
 	responsesDueBy time.Duration // while draining: the latest deadline of all requests; 0: not draining
 
-	endpoints    discovery.Directory
+	directory    discovery.Directory
 	watcher      *discovery.Watcher
 	poll         discovery.Poll // the last one started
 	callID       uint64         // the registry's ID of the poll's request in flight; 0: none
@@ -82,7 +82,7 @@
 	if n.dead {
 		return
 	}
-	n.applyUpdate(n.cfg.Known, balancer.CachedUpdate)
+	n.applyEndpoints(n.cfg.Known, balancer.CachedUpdate)
 	n.cfg.Known = discovery.List{} // no longer needed
 	n.pool.scheduleExpiry()
 	n.startPoll()
@@ -109,7 +109,7 @@
 	}
 	for len(n.pendingEvents) > 0 {
 		for _, action := range n.callBalancer(n.pendingEvents[0]) {
-			n.apply(action)
+			n.perform(action)
 		}
 		n.pendingEvents = n.pendingEvents[1:]
 	}
@@ -126,12 +126,12 @@
 	return actions
 }
 
-// apply carries out an action of the balancer.
-func (n *hollowNode) apply(action balancer.Action) {
+// perform carries out an action of the balancer.
+func (n *hollowNode) perform(action balancer.Action) {
 	m := n.sim
 	switch a := action.(type) {
 	case balancer.Send:
-		n.send(a)
+		n.startAttempt(a)
 	case balancer.Reject:
 		if r := n.requests[a.ID]; r != nil && !r.answered {
 			m.checkRejection(r)
--- a/internal/lab/hollow/poll.go
+++ b/internal/lab/hollow/poll.go
@@ -16,10 +16,10 @@
 // {"index":1,"snapshot":false,"endpoints":[]} takes 45.
 const requestOverhead = 250
 
-// applyUpdate applies a list. The pool adds and changes backends before the balancer handles the update, and
+// applyEndpoints applies a list. The pool adds and changes backends before the balancer handles the update, and
 // removes backends after it.
-func (n *hollowNode) applyUpdate(l discovery.List, kind balancer.UpdateKind) {
-	update, changes := n.endpoints.Apply(l, kind)
+func (n *hollowNode) applyEndpoints(l discovery.List, kind balancer.UpdateKind) {
+	update, changes := n.directory.Apply(l, kind)
 	for _, c := range changes {
 		if c.State != balancer.Removed {
 			n.pool.set(c.ID, n.sim.byName[c.Name], c.StartedAtMS, c.State != balancer.Ready)
@@ -31,7 +31,7 @@
 			n.pool.remove(c.ID)
 		}
 	}
-	n.ready = n.ready || n.endpoints.Len() > 0
+	n.ready = n.ready || n.directory.Len() > 0
 	n.observe(l.Version)
 }
 
@@ -159,7 +159,7 @@
 		return
 	}
 	if n.watcher.Succeeded(m.now, poll, l) {
-		n.applyUpdate(l, l.Kind())
+		n.applyEndpoints(l, l.Kind())
 	}
 	n.continuePolling()
 }
--- a/internal/lab/hollow/pool.go
+++ b/internal/lab/hollow/pool.go
@@ -11,12 +11,12 @@
 
 // pool models the connection pool of package upstream.
 type pool struct {
-	node     *hollowNode
-	open     int // connections that are idle, in use or being dialled
-	limit    int // maximum of open
-	maxIdle  time.Duration
-	backends map[balancer.EndpointID]*backend
-	dialled  []*backend // backends that have been dialled, in the order of their first dial
+	node           *hollowNode
+	connections    int // connections that are idle, in use or being dialled
+	maxConnections int // maximum of connections
+	maxIdle        time.Duration
+	backends       map[balancer.EndpointID]*backend
+	dialled        []*backend // backends that have been dialled, in the order of their first dial
 }
 
 // backend is one process of a server as the node knows it. A listed restart makes a new backend.
@@ -45,7 +45,7 @@
 const defaultMaxIdle = time.Minute
 
 func newPool(n *hollowNode, limit int) pool {
-	p := pool{node: n, limit: limit, backends: map[balancer.EndpointID]*backend{}, maxIdle: defaultMaxIdle}
+	p := pool{node: n, maxConnections: limit, backends: map[balancer.EndpointID]*backend{}, maxIdle: defaultMaxIdle}
 	if timeout := n.cfg.Settings.IdleConnectionTimeout; timeout > 0 {
 		p.maxIdle = time.Duration(upstream.IdleTimeoutFraction * float64(timeout))
 	}
@@ -94,10 +94,10 @@
 // scheduleExpiry closes connections that have been idle for maxIdle, and repeats this at intervals.
 func (p *pool) scheduleExpiry() {
 	const (
-		checksPerTimeout = 8
-		minInterval      = 50 * time.Millisecond
+		expiryChecksPerMaxIdle = 8
+		minExpiryInterval      = 50 * time.Millisecond
 	)
-	interval := max(p.maxIdle/checksPerTimeout, minInterval)
+	interval := max(p.maxIdle/expiryChecksPerMaxIdle, minExpiryInterval)
 	p.node.schedule(p.node.sim.now+interval, func() {
 		for _, b := range p.dialled {
 			b.closeExpired(p.node.sim.now, p.maxIdle)
@@ -116,9 +116,9 @@
 	b.idle = slices.Delete(b.idle, 0, expired)
 }
 
-// take returns the most recently used idle connection to a backend that can carry a request, nil if there is
+// takeIdle returns the most recently used idle connection to a backend that can carry a request, nil if there is
 // none. It skips those that have been idle for less than MinReuseDelay, and closes the unusable ones that it finds.
-func (p *pool) take(b *backend) *conn {
+func (p *pool) takeIdle(b *backend) *conn {
 	now := p.node.sim.now
 	for i := len(b.idle) - 1; i >= 0; i-- {
 		c := b.idle[i]
@@ -138,10 +138,10 @@
 // reserve counts one more open connection. At the limit it first evicts an idle connection, and returns false if
 // there is none.
 func (p *pool) reserve() bool {
-	if p.open >= p.limit && !p.evict() {
+	if p.connections >= p.maxConnections && !p.evict() {
 		return false
 	}
-	p.open++
+	p.connections++
 	return true
 }
 
@@ -190,7 +190,7 @@
 
 // close closes a connection. The caller removes it from its backend's lists.
 func (c *conn) close() {
-	c.pool.open--
+	c.pool.connections--
 	c.closeAtServer()
 }
 
--- a/internal/lab/hollow/request.go
+++ b/internal/lab/hollow/request.go
@@ -9,19 +9,19 @@
 
 // request is a client's try as its node handles it, until it is answered and its attempts have ended.
 type request struct {
-	id             balancer.RequestID
-	client         *client
-	class          *class
-	deadline       time.Duration // by which the node responds
-	clientDeadline time.Duration // by which the client needs a response
-	arrivedAt      time.Duration
-	attempts       []*attempt
-	inFlight       int // attempts that have not ended
-	answered       bool
+	id              balancer.RequestID
+	client          *client
+	class           *class
+	deadline        time.Duration // by which the node responds
+	clientDeadline  time.Duration // by which the client needs a response
+	arrivedAt       time.Duration
+	attempts        []*attempt
+	runningAttempts int // attempts that have not ended
+	answered        bool
 }
 
-// accept passes a client's try to the balancer, or rejects it if too many requests are open.
-func (n *hollowNode) accept(r *request, e balancer.RequestArrived) {
+// startRequest passes a client's try to the balancer, or rejects it if too many requests are open.
+func (n *hollowNode) startRequest(r *request, e balancer.RequestArrived) {
 	m := n.sim
 	r.arrivedAt = m.now
 	if limit := n.cfg.Settings.MaxOpenRequests; limit > 0 && len(n.requests) >= limit {
@@ -80,14 +80,14 @@
 
 // removeIfDone removes a request that is answered and has no attempt in flight.
 func (n *hollowNode) removeIfDone(r *request) {
-	if r.answered && r.inFlight == 0 {
+	if r.answered && r.runningAttempts == 0 {
 		delete(n.requests, r.id)
 	}
 }
 
-// send carries out the balancer's Send. It makes no attempt if the request is answered, or if another attempt is in
-// flight and hedging is not allowed.
-func (n *hollowNode) send(s balancer.Send) {
+// startAttempt carries out the balancer's Send. It makes no attempt if the request is answered, or if another attempt
+// is in flight and hedging is not allowed.
+func (n *hollowNode) startAttempt(s balancer.Send) {
 	m := n.sim
 	r := n.requests[s.ID]
 	if r == nil {
@@ -95,19 +95,19 @@
 		return
 	}
 	a := newAttempt(n, r, s)
-	if r.answered || r.inFlight > 0 && !n.cfg.Settings.HedgingAllowed {
-		n.rejectAttempt(a)
+	if r.answered || r.runningAttempts > 0 && !n.cfg.Settings.HedgingAllowed {
+		n.reportNotSent(a)
 		return
 	}
 	m.checkSend(a, r.attempts)
 	r.attempts = append(r.attempts, a)
-	r.inFlight++
+	r.runningAttempts++
 	m.recordAttempt(a)
 	n.schedule(m.now, a.start)
 }
 
-// rejectAttempt reports to the balancer, with NotSent, that an attempt is not made.
-func (n *hollowNode) rejectAttempt(a *attempt) {
+// reportNotSent reports to the balancer, with NotSent, that an attempt is not made.
+func (n *hollowNode) reportNotSent(a *attempt) {
 	r := a.request
 	a.state = attemptOver
 	a.outcome = balancer.NotSent
@@ -126,7 +126,7 @@
 // gets the event.
 func (n *hollowNode) attemptEnded(a *attempt) {
 	r := a.request
-	r.inFlight--
+	r.runningAttempts--
 	if a.outcome == balancer.OK {
 		if !r.answered {
 			n.sim.recordAddedLatency(a)
--- a/internal/lab/hollow/server.go
+++ b/internal/lab/hollow/server.go
@@ -103,7 +103,7 @@
 	}
 	sv.startedAt = at
 	sv.warmupSends = nil
-	sv.entry.SinceMS = (epoch + at).Milliseconds()
+	sv.entry.StartedAtMS = (epoch + at).Milliseconds()
 	m.setStatus(sv, cmp.Or(sv.entry.Status, model.Ready))
 	sv.startVersion = m.registry.Version()
 }
--- a/internal/lab/load/conns.go
+++ b/internal/lab/load/conns.go
@@ -46,11 +46,11 @@
 	}
 }
 
-// take returns a connection for one request: an idle one, unless fresh is set,
+// get returns a connection for one request: an idle one, unless fresh is set,
 // or a new one. At the limit of open connections it waits until another request
 // gives one up, and may return that one even if fresh is set. The caller returns
 // the connection with put.
-func (g *generator) take(ctx context.Context, pool *connPool, address string, fresh bool) (*conn, error) {
+func (g *generator) get(ctx context.Context, pool *connPool, address string, fresh bool) (*conn, error) {
 	c, waiter := pool.takeOrReserve(address, fresh, g.Connections)
 	if c != nil {
 		return c, nil
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -194,7 +194,7 @@
 	}
 	pool := g.poolOf(node)
 	for fresh := false; ; fresh = true {
-		c, err := g.take(ctx, pool, address, fresh)
+		c, err := g.get(ctx, pool, address, fresh)
 		if err != nil {
 			return response{}, fmt.Errorf("%w: %w", errUnreachable, err)
 		}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// longTimeout is longer than any step of these tests takes on a busy machine.
-const longTimeout = 20 * time.Second
+// testTimeout is longer than any step of these tests takes on a busy machine.
+const testTimeout = 20 * time.Second
 
 // serve starts a server and returns a Config.Route to it.
 func serve(t *testing.T, f http.HandlerFunc) func(*Request, int) (int, string) {
@@ -37,7 +37,7 @@
 func stream(n int, every time.Duration, change func(*Request)) []Request {
 	out := make([]Request, n)
 	for i := range out {
-		out[i] = Request{At: time.Duration(i) * every, ID: fmt.Sprintf("q-%d", i), Class: "read", Subject: "u", Deadline: longTimeout}
+		out[i] = Request{At: time.Duration(i) * every, ID: fmt.Sprintf("q-%d", i), Class: "read", Subject: "u", Deadline: testTimeout}
 		if change != nil {
 			change(&out[i])
 		}
@@ -48,7 +48,7 @@
 // run sends a stream and checks that every request is counted with one outcome.
 func run(t *testing.T, c Config, s []Request) *Report {
 	t.Helper()
-	c.MaxSendDelay = longTimeout // a busy machine sends late; TestSendDelay covers the limit
+	c.MaxSendDelay = testTimeout // a busy machine sends late; TestSendDelay covers the limit
 	r, err := Run(t.Context(), c, s)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -38,7 +38,7 @@
 // Request describes one request that reaches a server.
 type Request struct {
 	ID     uint64        // chosen by the caller and repeated in the Reply; unique among requests under way at a server
-	Cost   time.Duration // processor time on a core of speed 1
+	Work   time.Duration // processor time on a core of speed 1
 	Key    string        // idempotency key, "" if none
 	Scope  Scope         // the servers that share Key
 	Window time.Duration // how long Key is remembered, from the start of the execution
--- a/internal/lab/model/registry.go
+++ b/internal/lab/model/registry.go
@@ -14,14 +14,14 @@
 // Entry describes one server of the list. Its JSON form is that of the discovery
 // protocol.
 type Entry struct {
-	Name    string  `json:"name"`
-	Address string  `json:"address"`
-	Zone    string  `json:"zone"`
-	Type    string  `json:"type"`
-	Group   int     `json:"group"`
-	Status  string  `json:"status"`
-	Weight  float64 `json:"weight"`
-	SinceMS int64   `json:"since_ms"` // Unix time of the last start in milliseconds; 0: long ago
+	Name        string  `json:"name"`
+	Address     string  `json:"address"`
+	Zone        string  `json:"zone"`
+	MachineType string  `json:"type"`
+	Cell        int     `json:"group"`
+	Status      string  `json:"status"`
+	Weight      float64 `json:"weight"`
+	StartedAtMS int64   `json:"since_ms"` // Unix time of the last start in milliseconds; 0: long ago
 }
 
 const (
--- a/internal/lab/model/registry_test.go
+++ b/internal/lab/model/registry_test.go
@@ -35,8 +35,8 @@
 }
 
 func entryOf(i int, status string) Entry {
-	return Entry{Name: fmt.Sprintf("s-%04d", i), Address: fmt.Sprintf("10.1.0.18:%d", i), Zone: "a", Type: "m2", Group: i % 7,
-		Status: status, Weight: 1.5, SinceMS: int64(i)}
+	return Entry{Name: fmt.Sprintf("s-%04d", i), Address: fmt.Sprintf("10.1.0.18:%d", i), Zone: "a", MachineType: "m2", Cell: i % 7,
+		Status: status, Weight: 1.5, StartedAtMS: int64(i)}
 }
 
 // oneResponse advances the registry to now and returns the one response that is
--- a/internal/lab/model/registryfaults.go
+++ b/internal/lab/model/registryfaults.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// SetIsolated cuts a node off from discovery, or connects it again. While the
+// SetIsolated cuts off a node from discovery, or connects it again. While the
 // node is cut off, its agent receives no changes and answers with the version it
 // has. With OnDemand, its calls made meanwhile, and those open at the start, are
 // never answered.
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -20,7 +20,7 @@
 	// A server starts with the fraction InitialCapacity of its capacity, which
 	// grows linearly to the full capacity within WarmupTime. While it warms up, it
 	// crashes once the work that reaches it within CrashWindow exceeds that of
-	// N + 2 sqrt(N) + 2 requests of MeanCost. N is CrashFactor times the number of
+	// N + 2 sqrt(N) + 2 requests of MeanWork. N is CrashFactor times the number of
 	// such requests that it could execute within CrashWindow at its current
 	// capacity.
 	InitialCapacity float64
@@ -28,7 +28,7 @@
 	CrashFactor     float64       // 0: never crashes
 	CrashWindow     time.Duration
 	CrashDowntime   time.Duration // from a crash until the server starts again
-	MeanCost        time.Duration // mean processor time of a request, on a core of speed 1; 0: never crashes
+	MeanWork        time.Duration // mean processor time of a request, on a core of speed 1; 0: never crashes
 
 	FailureRate float64                  // fraction of all executions that end Failed
 	KeyStores   [ScopeCell + 1]*KeyStore // by Scope; nil: keys of that scope are not remembered
--- a/internal/lab/model/server_test.go
+++ b/internal/lab/model/server_test.go
@@ -45,7 +45,7 @@
 			recordReplies(s.Advance(next))
 		}
 		at[i], costs[i] = now.Seconds(), time.Duration(cost.Rand()*1e9)
-		if s.Arrive(now, nil, Request{ID: uint64(i), Cost: costs[i]}) == Rejected {
+		if s.Arrive(now, nil, Request{ID: uint64(i), Work: costs[i]}) == Rejected {
 			full[i*batches/n]++
 		}
 	}
@@ -124,7 +124,7 @@
 	for _, c := range []struct{ work, takes float64 }{{2, 5}, {6, 10}, {7, 11}} {
 		s := NewServer(cfg, nil)
 		s.Start(time.Second)
-		s.Arrive(time.Second, nil, Request{Cost: time.Duration(c.work * 1e9)})
+		s.Arrive(time.Second, nil, Request{Work: time.Duration(c.work * 1e9)})
 		if got, _ := s.Next(); got-time.Second != time.Duration(c.takes*1e9) {
 			t.Errorf("work of %v s takes %v from a cold start, want %v s", c.work, got-time.Second, c.takes)
 		}
@@ -143,8 +143,8 @@
 func TestCrashThreshold(t *testing.T) {
 	// At the start N is 4 x 0.5 x 2 cores x 1 s / 10 ms = 400, so the server survives 442 requests.
 	cfg := ServerConfig{Cores: 2, QueueLimit: 10, InitialCapacity: 0.5, WarmupTime: 100 * time.Second, CrashFactor: 4,
-		CrashWindow: time.Second, CrashDowntime: 5 * time.Second, MeanCost: 10 * time.Millisecond}
-	req := Request{Cost: 10 * time.Millisecond}
+		CrashWindow: time.Second, CrashDowntime: 5 * time.Second, MeanWork: 10 * time.Millisecond}
+	req := Request{Work: 10 * time.Millisecond}
 	s := NewServer(cfg, nil)
 	for range 2 * 442 { // a warm server never crashes
 		s.Arrive(0, nil, req)
@@ -202,7 +202,7 @@
 		{s, 1003, Request{Key: "a", Scope: ScopeZone}, false}, // no key store for this scope
 		{s, 1004, Request{Scope: ScopeCell}, false},
 	} {
-		c.req.Window, c.req.Cost = 1000, 1
+		c.req.Window, c.req.Work = 1000, 1
 		c.s.Arrive(c.at, nil, c.req)
 		replies := c.s.Advance(c.at + 1)
 		if len(replies) != 1 || replies[0].Outcome != Served || replies[0].Repeat != c.repeat {
@@ -210,7 +210,7 @@
 		}
 	}
 	// An execution that fails or is cut short has no effect, so its key may be executed again.
-	req := Request{Key: "b", Cost: 10, Window: time.Hour}
+	req := Request{Key: "b", Work: 10, Window: time.Hour}
 	s.SetFailureRate(2000, 1)
 	s.Arrive(2000, nil, req)
 	if r := s.Advance(2010); r[0].Outcome != Failed {
@@ -243,14 +243,14 @@
 		t.Errorf("third connection with a limit of 2: %v, want rejected", e)
 	}
 	// Two handshakes of 2 ns each and then the request run one after the other.
-	s.Arrive(2, a, Request{ID: 1, Cost: 10})
-	s.Arrive(2, b, Request{ID: 2, Cost: 10})
+	s.Arrive(2, a, Request{ID: 1, Work: 10})
+	s.Arrive(2, b, Request{ID: 2, Work: 10})
 	s.CloseConn(3, b) // its request still waits and is dropped
 	if r := s.Advance(50); len(r) != 1 || r[0] != (Reply{ID: 1, Outcome: Served, At: 9}) {
 		t.Errorf("replies %v, want request 1 served at 9ns", r)
 	}
 	c, _, _ := s.Connect(50)
-	s.Arrive(52, c, Request{ID: 3, Cost: 10})
+	s.Arrive(52, c, Request{ID: 3, Work: 10})
 	s.CloseConn(53, c) // its request runs to the end, without a reply
 	st := func() ServerStats { s.Advance(60); return s.Stats() }()
 	if st.Dropped != 1 || st.Wasted != 10 || st.Served != 1 || st.Handshakes != 3 || st.RejectedConnections != 1 || st.Connections != 1 || st.PeakConnections != 2 {
@@ -266,7 +266,7 @@
 	c, _, _ := s.Connect(0)
 	s.SetHung(0, true)
 	for i := range 4 {
-		if e := s.Arrive(0, nil, Request{ID: uint64(i), Cost: 10}); e != Accepted {
+		if e := s.Arrive(0, nil, Request{ID: uint64(i), Work: 10}); e != Accepted {
 			t.Errorf("request to a hung server: %v, want accepted", e)
 		}
 	}
@@ -297,8 +297,8 @@
 		t.Errorf("request on a connection to the earlier process: %v, want connection reset", e)
 	}
 	b, _, _ := s.Connect(500)
-	s.Arrive(500, nil, Request{ID: 8, Cost: 100})
-	s.Arrive(500, b, Request{ID: 9, Cost: 100}) // waits
+	s.Arrive(500, nil, Request{ID: 8, Work: 100})
+	s.Arrive(500, b, Request{ID: 9, Work: 100}) // waits
 	s.Kill(501)
 	s.Start(501)
 	if len(s.Advance(501)) != 2 || b.Open(501) {
@@ -318,7 +318,7 @@
 	run := func() (ServerStats, []float64) {
 		r := rand.NewPCG(3, 4)
 		s := NewServer(ServerConfig{Cores: 3, QueueLimit: 4, FailureRate: 0.1, InitialCapacity: 0.1, WarmupTime: 20 * time.Second,
-			CrashFactor: 3, CrashWindow: time.Second, CrashDowntime: time.Second, MeanCost: 10 * time.Millisecond}, rand.New(r))
+			CrashFactor: 3, CrashWindow: time.Second, CrashDowntime: time.Second, MeanWork: 10 * time.Millisecond}, rand.New(r))
 		s.Start(0)
 		waits, _ := simulateQueue(s, 280, distuv.Exponential{Rate: 100, Src: r}, 20_000, r)
 		return s.Stats(), waits
--- a/internal/lab/model/servercapacity.go
+++ b/internal/lab/model/servercapacity.go
@@ -51,22 +51,23 @@
 // 1e-3 ns first, to tolerate the rounding errors of sums.
 func ceilNanoseconds(s float64) time.Duration { return time.Duration(math.Ceil(s*1e9 - 1e-3)) }
 
-// loadSample is work that reached a server during its warm-up.
+// loadSample is an amount of work that reached a server at one time during its
+// warm-up.
 type loadSample struct {
 	at   time.Duration
-	cost time.Duration
+	work time.Duration
 }
 
 // recordWarmupLoad records work that reaches the server, if it warms up. It
 // returns true if that work makes the server crash.
-func (s *Server) recordWarmupLoad(cost time.Duration) bool {
-	if s.cfg.CrashFactor <= 0 || s.cfg.MeanCost <= 0 || s.Capacity(s.now) >= 1 {
+func (s *Server) recordWarmupLoad(work time.Duration) bool {
+	if s.cfg.CrashFactor <= 0 || s.cfg.MeanWork <= 0 || s.Capacity(s.now) >= 1 {
 		return false
 	}
 	s.expireWarmupLoad()
-	s.warmupLoad = append(s.warmupLoad, loadSample{s.now, cost})
-	s.warmupLoadSum += cost
-	load := float64(s.warmupLoadSum) / float64(s.cfg.MeanCost) / s.crashThreshold()
+	s.warmupLoad = append(s.warmupLoad, loadSample{s.now, work})
+	s.warmupLoadSum += work
+	load := float64(s.warmupLoadSum) / float64(s.cfg.MeanWork) / s.crashThreshold()
 	s.stats.WorstWarmupLoad = max(s.stats.WorstWarmupLoad, load)
 	if load <= 1 {
 		return false
@@ -81,7 +82,7 @@
 // expireWarmupLoad removes the samples that are older than CrashWindow.
 func (s *Server) expireWarmupLoad() {
 	for s.warmupLoadHead < len(s.warmupLoad) && s.warmupLoad[s.warmupLoadHead].at <= s.now-s.cfg.CrashWindow {
-		s.warmupLoadSum -= s.warmupLoad[s.warmupLoadHead].cost
+		s.warmupLoadSum -= s.warmupLoad[s.warmupLoadHead].work
 		s.warmupLoadHead++
 	}
 	if s.warmupLoadHead > len(s.warmupLoad)/2 {
@@ -96,9 +97,9 @@
 	s.warmupLoadSum = 0
 }
 
-// crashThreshold returns how many requests of MeanCost within CrashWindow the
+// crashThreshold returns how many requests of MeanWork within CrashWindow the
 // server survives at its current warm-up capacity.
 func (s *Server) crashThreshold() float64 {
-	n := s.cfg.CrashFactor * s.Capacity(s.now) * s.cfg.Speed * float64(s.cfg.Cores) * float64(s.cfg.CrashWindow) / float64(s.cfg.MeanCost)
+	n := s.cfg.CrashFactor * s.Capacity(s.now) * s.cfg.Speed * float64(s.cfg.Cores) * float64(s.cfg.CrashWindow) / float64(s.cfg.MeanWork)
 	return n + 2*math.Sqrt(n) + 2
 }
--- a/internal/lab/model/serverconn.go
+++ b/internal/lab/model/serverconn.go
@@ -62,7 +62,7 @@
 		return 0
 	}
 	s.stats.Handshakes++
-	s.queue = append(s.queue, &job{Request: Request{Cost: s.cfg.Handshake}, handshake: true})
+	s.queue = append(s.queue, &job{Request: Request{Work: s.cfg.Handshake}, handshake: true})
 	s.startJobs()
 	delay := s.cfg.Handshake.Seconds() * s.slowdown / s.cfg.Speed / max(s.Capacity(s.now), s.cfg.InitialCapacity, minHandshakeCapacity)
 	return ceilNanoseconds(delay)
--- a/internal/lab/model/serverfaults.go
+++ b/internal/lab/model/serverfaults.go
@@ -32,7 +32,7 @@
 	s.crashed = false
 }
 
-// SetHung suspends the process or lets it continue. While hung, it accepts any
+// SetHung pauses the process or lets it continue. While hung, it accepts any
 // number of requests, and connections up to MaxConnections, and answers nothing.
 // When it continues, it rejects the waiting requests beyond QueueLimit.
 func (s *Server) SetHung(now time.Duration, on bool) {
--- a/internal/lab/model/serverjobs.go
+++ b/internal/lab/model/serverjobs.go
@@ -36,7 +36,7 @@
 	case s.state == down:
 		return ConnectionRefused
 	}
-	if s.recordWarmupLoad(r.Cost) {
+	if s.recordWarmupLoad(r.Work) {
 		s.stats.LostRequests++
 		return ConnectionReset
 	}
@@ -100,7 +100,7 @@
 	}
 	j.started = true
 	j.startProgress = s.progress
-	j.endProgress = s.progress + j.Cost.Seconds()
+	j.endProgress = s.progress + j.Work.Seconds()
 	s.running = append(s.running, j)
 	if s.cfg.OnStart != nil && !j.handshake {
 		s.cfg.OnStart(j.ID, s.now)
@@ -109,7 +109,7 @@
 
 // finishJob handles the end of an execution and replies to its request.
 func (s *Server) finishJob(j *job) {
-	s.stats.Work += j.Cost
+	s.stats.Work += j.Work
 	if j.handshake {
 		return
 	}
@@ -118,7 +118,7 @@
 		j.keys.forget(j.Key)
 	}
 	if j.abandoned || failed {
-		s.stats.Wasted += j.Cost
+		s.stats.Wasted += j.Work
 	}
 	switch {
 	case j.abandoned:
--- a/internal/lab/scaling/added.go
+++ b/internal/lab/scaling/added.go
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	for _, v := range r.Violations {
-		e.violation("added, %v/s: %s", rate, v)
+		e.recordViolation("added, %v/s: %s", rate, v)
 	}
 	e.log("  %v/s: %+v, %.1f %% of a core", rate, r.AddedLatency, 100*r.Cost.NodeCPU)
 	return r, nil
--- a/internal/lab/scaling/idle.go
+++ b/internal/lab/scaling/idle.go
@@ -74,7 +74,7 @@
 	use.configMB = float64(config.Size()) / 1e6
 	e.log("  %+v: %+v", c, use)
 	if seconds > maxOverrun*e.measure().Seconds() {
-		e.violation("%+v: watched for %.1f s in place of %v: the machine was busy, and the node may have stood still", c, seconds, e.measure())
+		e.recordViolation("%+v: watched for %.1f s in place of %v: the machine was busy, and the node may have stood still", c, seconds, e.measure())
 	}
 	return use, nil
 }
--- a/internal/lab/scaling/scaling.go
+++ b/internal/lab/scaling/scaling.go
@@ -66,8 +66,8 @@
 	return full
 }
 
-// violation records why a measurement cannot be trusted.
-func (e *Env) violation(format string, args ...any) {
+// recordViolation records why a measurement cannot be trusted.
+func (e *Env) recordViolation(format string, args ...any) {
 	e.violations = append(e.violations, fmt.Sprintf(format, args...))
 	e.log("  BROKEN: "+format, args...)
 }
--- a/internal/lab/scaling/scaling_test.go
+++ b/internal/lab/scaling/scaling_test.go
@@ -115,7 +115,7 @@
 // TestViolationsAreReported guards against a table that omits violations.
 func TestViolationsAreReported(t *testing.T) {
 	e := &Env{}
-	e.violation("paused for %d s", 7)
+	e.recordViolation("paused for %d s", 7)
 	var b bytes.Buffer
 	if err := (&Report{Violations: e.violations}).Table(&b); err != nil || !strings.Contains(b.String(), "paused for 7 s") {
 		t.Errorf("error %v; want the violation in table\n%s", err, b.String())
--- a/internal/lab/setup/setup.go
+++ b/internal/lab/setup/setup.go
@@ -46,7 +46,7 @@
 		CrashFactor:     c.CrashFactor,
 		CrashWindow:     c.CrashWindow.Std(),
 		CrashDowntime:   c.CrashDowntime.Std(),
-		MeanCost:        s.MeanWork(),
+		MeanWork:        s.MeanWork(),
 		FailureRate:     c.FailureRate,
 	}
 	if c.Deduplicate {
@@ -58,12 +58,12 @@
 // Entry returns the endpoint list entry of a server, without a status.
 func Entry(server scenario.Server, address string) model.Entry {
 	return model.Entry{
-		Name:    server.Name,
-		Address: address,
-		Zone:    server.Zone,
-		Type:    server.MachineType.Name,
-		Group:   server.Cell,
-		Weight:  float64(server.MachineType.Cores) * server.MachineType.Speed,
+		Name:        server.Name,
+		Address:     address,
+		Zone:        server.Zone,
+		MachineType: server.MachineType.Name,
+		Cell:        server.Cell,
+		Weight:      float64(server.MachineType.Cores) * server.MachineType.Speed,
 	}
 }
 
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -72,7 +72,7 @@
 	}
 	n := startNodeWith(t, func(s *balancer.Settings) { s.HedgingAllowed, s.ConnectTimeout = true, clientTimeout },
 		startBackend(t, serve), startBackend(t, serve), startBackend(t, serve))
-	begun, allowDial := blockDials(n.dials)
+	begun, allowDial := holdDials(n.dials)
 	c := n.dial(t)
 	c.sendGet(t, "saldo", "q", strconv.FormatFloat(clientTimeout.Seconds(), 'f', 3, 64))
 	receive(t, begun, "the first connection")
@@ -168,7 +168,7 @@
 func TestDeduplicationWindowEndsWhileDialing(t *testing.T) {
 	backend, got, _ := startStallingBackend(t)
 	n := startNodeWith(t, func(s *balancer.Settings) { s.HedgingAllowed, s.ConnectTimeout = true, 3*testTimeout }, backend)
-	begun, release := blockDials(n.dials)
+	begun, release := holdDials(n.dials)
 	release <- struct{}{} // for the first connection
 	c := n.dial(t)
 	c.sendGet(t, "saldo", "q", "60")
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -76,7 +76,7 @@
 		t.Run(fmt.Sprintf("busy %v", busy), func(t *testing.T) {
 			address, got := startRecordingBackend(t)
 			n := startNodeWith(t, func(s *balancer.Settings) { s.CancelAllowed, s.MinEventInterval = false, time.Hour }, address)
-			begun, allowDial := blockDials(n.dials)
+			begun, allowDial := holdDials(n.dials)
 			c := n.dial(t)
 			c.sendGet(t, "saldo", "q", "60")
 			receive(t, begun, "the connection to begin")
@@ -298,7 +298,7 @@
 			ln := lateEndListener{newListener(t), make(chan struct{})}
 			defer close(ln.release)
 			n := startNodeOn(t, ln, func(*Config) {}, address)
-			begun, allowDial := blockDials(n.dials)
+			begun, allowDial := holdDials(n.dials)
 			c := n.dial(t)
 			c.sendGet(t, "saldo", "q", "60")
 			receive(t, begun, "the connection to begin")
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -187,7 +187,7 @@
 	}
 	// With this MinReuseDelay each request needs a new connection.
 	n := startNodeWithReuseDelay(t, time.Hour, func(*balancer.Settings) {}, address)
-	begun, allowDial := blockDials(n.dials)
+	begun, allowDial := holdDials(n.dials)
 	send := func(id string) chan clientResponse {
 		response := make(chan clientResponse, 1)
 		go func() { response <- sendRequest(t, n.request(t, "GET", "saldo", id, "60", nil)) }()
--- a/internal/node/headers.go
+++ b/internal/node/headers.go
@@ -5,7 +5,7 @@
 	headerRequestID      = "X-Request-Id"    // the request's ID; each try of the client has a new one
 	headerClass          = "X-Class"         // the request's class
 	headerTenant         = "X-Tenant"        // the client's tenant
-	headerTimeout        = "X-Deadline"      // how long the client waits, in seconds
+	headerDeadline       = "X-Deadline"      // how long the client waits, in seconds
 	headerRetry          = "X-Retry"         // retryValue marks a client's retry
 	headerWorkHint       = "X-Cost-Hint"     // the expected work, in µs
 	headerIdempotencyKey = "Idempotency-Key" // lets endpoints recognize and drop repeated requests
--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -90,9 +90,9 @@
 	if err := f.checkClass(arrival.Class, r); err != nil {
 		return arrival, 0, err
 	}
-	timeout, err = parseTimeout(r.Header.Get(headerTimeout))
+	timeout, err = parseTimeout(r.Header.Get(headerDeadline))
 	if err != nil {
-		return arrival, 0, rejectionf(http.StatusBadRequest, headerTimeout+": %w", err)
+		return arrival, 0, rejectionf(http.StatusBadRequest, headerDeadline+": %w", err)
 	}
 	arrival.Tenant = r.Header.Get(headerTenant)
 	arrival.IsRetry = r.Header.Get(headerRetry) == retryValue
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -190,7 +190,7 @@
 	address, got := startRecordingBackend(t)
 	n := startNode(t, address)
 	n.frontend.phases.answered = 0
-	begun, release := blockDials(n.dials)
+	begun, release := holdDials(n.dials)
 	responses := make(chan clientResponse, 1)
 	go func() { responses <- sendRequest(t, n.request(t, "POST", "pagar", "q", "600", strings.NewReader("x"))) }()
 	receive(t, begun, "the connection to begin")
--- a/internal/node/testbackend_test.go
+++ b/internal/node/testbackend_test.go
@@ -140,9 +140,9 @@
 	return nil
 }
 
-// blockDials blocks each connect of a pool until release has a value or is closed.
+// holdDials blocks each connect of a pool until release has a value or is closed.
 // begun receives a value when a connect begins.
-func blockDials(h *dialHook) (begun chan bool, release chan struct{}) {
+func holdDials(h *dialHook) (begun chan bool, release chan struct{}) {
 	begun, release = make(chan bool, 10), make(chan struct{}, 1)
 	h.set(func(ctx context.Context, _ string) error {
 		begun <- true
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -28,8 +28,8 @@
 	okResponse    = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: inflight=7,queue=2\r\n\r\nhi"
 )
 
-// listen opens a listener on a free port of the loopback address.
-func listen(t *testing.T) net.Listener {
+// newListener opens a listener on a free port of the loopback address.
+func newListener(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,7 +42,7 @@
 // connection, with the connection's number from 0, and closes it when handle returns.
 func startEndpoint(t *testing.T, handle func(number int, c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
-	ln := listen(t)
+	ln := newListener(t)
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for number := 0; ; number++ {
@@ -92,7 +92,7 @@
 // refusingAddress returns an address that refuses connections, as nothing listens on it.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
-	ln := listen(t)
+	ln := newListener(t)
 	ln.Close()
 	return ln.Addr().String()
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -78,12 +78,12 @@
 
 // backend is one incarnation of an endpoint. After a restart or a change of address
 // the endpoint gets a new backend, and connections of the old one are never reused.
-// Its fields are guarded by Pool.mu, except for endpoint, address and startedAt,
+// Its fields are guarded by Pool.mu, except for endpoint, address and startedAtMS,
 // which do not change.
 type backend struct {
-	endpoint  balancer.EndpointID
-	address   string
-	startedAt int64 // Unix time in ms
+	endpoint    balancer.EndpointID
+	address     string
+	startedAtMS int64 // Unix time in ms
 
 	closed   bool      // the endpoint was removed, or has a new incarnation
 	draining bool      // the endpoint takes no new requests
@@ -108,20 +108,20 @@
 	}
 }
 
-// Set adds or updates an endpoint. startedAt is the time of its start as Unix time
-// in ms. If address or startedAt has changed, Set closes the endpoint's idle
+// Set adds or updates an endpoint. startedAtMS is the time of its start as Unix
+// time in ms. If address or startedAtMS has changed, Set closes the endpoint's idle
 // connections, and those in use are closed as soon as their attempts end.
-func (p *Pool) Set(id balancer.EndpointID, address string, startedAt int64, draining bool) {
+func (p *Pool) Set(id balancer.EndpointID, address string, startedAtMS int64, draining bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
-		if b.address == address && b.startedAt == startedAt {
+		if b.address == address && b.startedAtMS == startedAtMS {
 			b.draining = draining
 			return
 		}
 		p.close(b)
 	}
-	p.backends[id] = &backend{endpoint: id, address: address, startedAt: startedAt, draining: draining}
+	p.backends[id] = &backend{endpoint: id, address: address, startedAtMS: startedAtMS, draining: draining}
 }
 
 // Remove removes an endpoint and closes its idle connections. Those in use are
