--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -30,7 +30,7 @@
 // Class describes one kind of request.
 type Class struct {
 	Name             string
-	PriorityWeight   float64       // value of one response in time, in any unit that is the same for all classes
+	PriorityWeight   float64       // value of one response within the objective, in a unit that all classes share
 	LatencyObjective time.Duration // a response within this time has its full value; 0: no objective
 	ObjectivePerWork float64       // the objective grows by this many times the request's work
 	Deadline         time.Duration // how long the client waits in total, over all its tries
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -83,7 +83,7 @@
 			h[node.Node] = balancer.New(input.Start.Settings, input.Start.Seed)
 		case input.Retire:
 			delete(h, node.Node)
-			actions = nil // a node that has ended takes no actions, not even for earlier events of this batch
+			actions = nil // a node that has ended performs no actions, not even for earlier events of this batch
 		default:
 			b := h[node.Node]
 			if b == nil {
--- a/internal/lab/arrivals/arrivals.go
+++ b/internal/lab/arrivals/arrivals.go
@@ -15,9 +15,9 @@
 
 // Arrival is a request as a client sends it.
 type Arrival struct {
-	Number int           // of the request, from 0
+	Number int           // number of the request, from 0
 	At     time.Duration // intended time of sending, since the start of the traffic
-	Node   int           // that its client is connected to
+	Node   int           // number of the node that the client is connected to
 	Class  int           // index in Scenario.Classes
 	Key    int           // number of the subject that the request is about; not an idempotency key
 	Tenant int           // -1: none
--- a/internal/lab/emulator/executionlog.go
+++ b/internal/lab/emulator/executionlog.go
@@ -16,7 +16,7 @@
 	requests map[string]RequestLog
 }
 
-// RequestLog is what the servers that share an ExecutionLog saw of one request.
+// RequestLog is what the servers that share an ExecutionLog record of one request.
 // Arrived is relative to the start of the run.
 type RequestLog struct {
 	Class         string        // from X-Class; "" if nodes do not pass it on
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -144,7 +144,7 @@
 }
 
 // Stop ends the process as a planned restart does: it sends SIGTERM, and SIGKILL
-// after stopTimeout. It returns an error if SIGKILL was needed or the exit
+// after stopTimeout or when ctx ends. It returns an error if SIGKILL was needed or the exit
 // status is not 0.
 func (p *Process) Stop(ctx context.Context) error {
 	p.cmd.Process.Signal(syscall.SIGTERM) // fails only if the process has exited
--- a/internal/lab/scaling/scaling.go
+++ b/internal/lab/scaling/scaling.go
@@ -18,12 +18,12 @@
 // Env configures a run of measurements and collects its violations. A duration of
 // 0 means its default.
 type Env struct {
-	Node       string        // path of the node's executable
-	Dir        string        // directory for the nodes' configuration files
-	SettleTime time.Duration // from a node's being ready to its measurement; default 2 s
-	Measure    time.Duration // duration of each measurement of a node; default 10 s
-	Bench      time.Duration // duration of each benchmark; default 500 ms
-	Log        func(format string, args ...any)
+	Node       string                           // path of the node's executable
+	Dir        string                           // directory for the nodes' configuration files
+	SettleTime time.Duration                    // from a node's being ready to its measurement; default 2 s
+	Measure    time.Duration                    // duration of each measurement of a node; default 10 s
+	Bench      time.Duration                    // duration of each benchmark; default 500 ms
+	Log        func(format string, args ...any) // receives progress messages; nil discards them
 
 	small      bool // measure at small sizes, for tests
 	violations []string
@@ -82,7 +82,7 @@
 // name.
 type Measurement struct {
 	Name  string
-	About string
+	About string // description for the log
 	run   func(ctx context.Context, e *Env) ([]Figure, error)
 }
 
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -37,7 +37,7 @@
 // are per node.
 type Fleet struct {
 	Nodes             int      `toml:"nodes"`
-	Cores             float64  `toml:"cores"` // that a node may use
+	Cores             float64  `toml:"cores"` // cores that a node may use
 	MemoryMB          int      `toml:"memory_mb"`
 	Sockets           int      `toml:"sockets"`
 	MaxOpenRequests   int      `toml:"max_open"`     // requests open at once
@@ -66,7 +66,7 @@
 // the machine types are spread over the servers of each zone.
 type Servers struct {
 	Count           int           `toml:"count"`
-	Services        int           `toml:"services"`     // that servers are spread over; unused: nodes support only one
+	Services        int           `toml:"services"`     // number of their services; unused: nodes support only one
 	CellSize        int           `toml:"cell_size"`    // servers per cell
 	MachineTypes    []MachineType `toml:"kind"`         // default: one
 	QueueLimit      int           `toml:"queue"`        // requests that may wait at a server
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -28,7 +28,7 @@
 // its balancer.
 type Input struct {
 	Start  *Start         // nil: the input is not a start
-	Retire bool           // the node ends, and takes no more actions
+	Retire bool           // the node ends, and performs no more actions
 	Event  balancer.Event // nil: the input is a start or an end
 }
 
