--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -144,8 +144,8 @@
 }
 
 // Stop ends the process as a planned restart does: it sends SIGTERM, and SIGKILL
-// after stopTimeout or when ctx ends. It returns an error if SIGKILL was needed or the exit
-// status is not 0.
+// after stopTimeout or when ctx ends. It returns an error if SIGKILL was needed or
+// the exit status is not 0.
 func (p *Process) Stop(ctx context.Context) error {
 	p.cmd.Process.Signal(syscall.SIGTERM) // fails only if the process has exited
 	t := time.NewTimer(stopTimeout)
