--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -5,7 +5,11 @@
 // configuration that the scenario gives a real node, discovery.Watcher and
 // discovery.Directory on the bytes of model.Registry's lists, and
 // balancer.Balancer. It passes the balancer the same events in the same way as
-// the event loop of package node, and carries out the resulting actions.
+// the event loop of package node, and carries out the resulting actions, with
+// these differences: AttemptEnded has no SinceSent, so the balancer takes all of
+// Elapsed for it. DeadlineExceeded is also sent for a request of which nothing
+// has been sent; if the balancer does not end the request then, it fails, while a
+// real node rejects it. A rejection at MaxOpenRequests has no Retry-After.
 //
 // The work of the request path itself is not modelled: sockets, HTTP parsing and
 // writing, bodies, goroutines and their scheduling. A node decides and forwards
