--- a/internal/lab/scaling/scaling.go
+++ b/internal/lab/scaling/scaling.go
@@ -18,12 +18,12 @@
 // Env configures a run of measurements and collects its violations. A duration of
 // 0 means its default.
 type Env struct {
-	Node       string        // path of the node's executable
-	Dir        string        // directory for the nodes' configuration files
-	SettleTime time.Duration // from a node's being ready to its measurement; default 2 s
-	Measure    time.Duration // duration of each measurement of a node; default 10 s
-	Bench      time.Duration // duration of each benchmark; default 500 ms
-	Log        func(format string, args ...any)
+	Node       string                           // path of the node's executable
+	Dir        string                           // directory for the nodes' configuration files
+	SettleTime time.Duration                    // from a node's being ready to its measurement; default 2 s
+	Measure    time.Duration                    // duration of each measurement of a node; default 10 s
+	Bench      time.Duration                    // duration of each benchmark; default 500 ms
+	Log        func(format string, args ...any) // receives progress messages; nil discards them
 
 	small      bool // measure at small sizes, for tests
 	violations []string
@@ -66,8 +66,8 @@
 	return full
 }
 
-// violation records why a measurement cannot be trusted.
-func (e *Env) violation(format string, args ...any) {
+// recordViolation records why a measurement cannot be trusted.
+func (e *Env) recordViolation(format string, args ...any) {
 	e.violations = append(e.violations, fmt.Sprintf(format, args...))
 	e.log("  BROKEN: "+format, args...)
 }
@@ -82,7 +82,7 @@
 // name.
 type Measurement struct {
 	Name  string
-	About string
+	About string // description for the log
 	run   func(ctx context.Context, e *Env) ([]Figure, error)
 }
 
