--- a/internal/lab/load/conns.go
+++ b/internal/lab/load/conns.go
@@ -10,12 +10,12 @@
 	"syscall"
 )
 
-// connPool is the clients' connections to one node.
+// connPool holds the clients' connections to one node and limits their number.
 type connPool struct {
 	mu      sync.Mutex
-	idle    []*conn // the one used last comes last
-	open    int     // idle, in use or being dialled
-	waiters []chan *conn
+	idle    []*conn      // in the order of their last use
+	open    int          // connections that are idle, in use or being dialled
+	waiters []chan *conn // in order of arrival; each receives a connection, or nil: it may dial one
 }
 
 // conn is a connection to a node. It carries one request at a time.
@@ -37,7 +37,7 @@
 	return pool
 }
 
-// close closes the idle connections, once all requests have ended.
+// close closes the idle connections. It is called after all requests have ended.
 func (g *generator) close() {
 	for _, pool := range g.pools {
 		for _, c := range pool.idle {
@@ -47,8 +47,9 @@
 }
 
 // take returns a connection for one request: an idle one, unless fresh is set,
-// or a new one. If all that may be open are busy, it waits for one. The caller
-// returns the connection with put.
+// or a new one. At the limit of open connections it waits until another request
+// gives one up, and may return that one even if fresh is set. The caller returns
+// the connection with put.
 func (g *generator) take(ctx context.Context, pool *connPool, address string, fresh bool) (*conn, error) {
 	c, waiter := pool.takeOrReserve(address, fresh, g.Connections)
 	if c != nil {
@@ -66,16 +67,17 @@
 		if c != nil {
 			c.Close()
 		}
-		return g.dial(ctx, pool, address) // c's place among the open ones is handed over
+		return g.dial(ctx, pool, address) // the waiter takes over the place of the connection that ended
 	case <-ctx.Done():
 		pool.abandonWait(waiter)
 		return nil, ctx.Err()
 	}
 }
 
-// takeOrReserve returns an idle connection, or nothing with a place reserved
-// among the open ones, or else a channel that delivers one of the two: a
-// connection or nil.
+// takeOrReserve returns an idle connection. If there is none, it counts a new
+// connection as open, which the caller must dial, and returns nil twice. At the
+// limit it returns a channel instead, which delivers a connection, or nil for one
+// that is counted as open and must be dialled.
 func (p *connPool) takeOrReserve(address string, fresh bool, limit int) (*conn, chan *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,7 +106,8 @@
 	g.report.Waited++
 }
 
-// dial opens a connection in a reserved place, which it gives up if it fails.
+// dial opens a connection that is already counted as open. If it fails, it takes
+// the connection off the count with put.
 func (g *generator) dial(ctx context.Context, pool *connPool, address string) (*conn, error) {
 	nc, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -117,8 +120,8 @@
 	return &conn{Conn: nc, address: address, reader: bufio.NewReader(nc)}, nil
 }
 
-// put takes back a connection that may carry another request, or with nil the
-// place of one that was closed.
+// put takes back a connection that may carry another request, or nil for one that
+// was closed or not established. It hands either to the first waiter, if any.
 func (p *connPool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +137,8 @@
 	p.idle = append(p.idle, c)
 }
 
-// abandonWait gives up a wait. What was delivered meanwhile goes to the next.
+// abandonWait removes a waiter. If put has served it already, what it received
+// goes back to the pool.
 func (p *connPool) abandonWait(waiter chan *conn) {
 	p.mu.Lock()
 	i := slices.Index(p.waiters, waiter)
@@ -147,7 +151,7 @@
 	}
 }
 
-// usable reports whether an idle connection goes to an address and can carry a
+// usable reports whether an idle connection leads to an address and can carry a
 // request.
 func (c *conn) usable(address string) bool { return c.address == address && c.idleAndOpen() }
 
@@ -167,5 +171,5 @@
 		_, _, peekErr = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return true
 	})
-	return err == nil && errors.Is(peekErr, syscall.EAGAIN) // a closed one has 0 bytes and no error
+	return err == nil && errors.Is(peekErr, syscall.EAGAIN) // a closed connection returns 0 bytes and no error
 }
