--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -43,7 +43,7 @@
 	listening bool // the listener serves
 	starts    int  // the model's count of process starts at the last syncListener
 	lastID    uint64
-	waiting   map[uint64]*pendingRequest // by model.Work.ID
+	waiting   map[uint64]*pendingRequest // by model.Request.ID
 	timer     *time.Timer                // fires at model.Next
 	closed    bool
 }
@@ -142,15 +142,15 @@
 	starts := s.model.Stats().Starts
 	switch {
 	case s.listening && !up:
-		s.listener.stop(s.model.Lost())
+		s.listener.stop(s.model.Disconnected())
 		s.listening = false
 	case !s.listening && up && !s.closed:
 		s.listener.resume()
 		s.listening = true
 	case s.listening && s.starts != starts:
 		s.listener.resetConns()
-	case !s.listening && s.listener.isBlackholed() != s.model.Lost():
-		s.listener.stop(s.model.Lost())
+	case !s.listening && s.listener.isBlackholed() != s.model.Disconnected():
+		s.listener.stop(s.model.Disconnected())
 	}
 	s.starts = starts
 }
--- a/internal/lab/fleet/events.go
+++ b/internal/lab/fleet/events.go
@@ -65,7 +65,7 @@
 		m.scheduleOutage(step, m.registry.SetRefusing)
 	case scenario.DiscoverySilent:
 		m.scheduleOutage(step, m.registry.SetSilent)
-	case scenario.WatchesBreak:
+	case scenario.ResetWatches:
 		m.schedule(step.At, m.registry.ResetWatches)
 	case scenario.Burst: // package arrivals generates the additional requests
 	}
@@ -84,7 +84,7 @@
 	switch e.Action {
 	case scenario.RestartServers:
 		return func(sv *server) { sv.process.Kill() }, m.startServer
-	case scenario.LoseServers:
+	case scenario.DisconnectServers:
 		return func(sv *server) { sv.process.Disconnect() }, m.startServer
 	case scenario.ReplaceServers:
 		return func(sv *server) { m.replaceServer(sv, slot) }, nil
--- a/internal/lab/fleet/nodes.go
+++ b/internal/lab/fleet/nodes.go
@@ -63,7 +63,7 @@
 	m.mu.Lock()
 	incarnation := len(n.processes)
 	m.mu.Unlock()
-	config, err := m.scenario.NodeConfig(n.index, scenario.NodeStart{
+	config, err := m.scenario.NodeConfig(n.index, scenario.NodeStartParams{
 		Incarnation: incarnation,
 		Listen:      n.address,
 		Discovery:   m.registry.Addr(n.index),
--- a/internal/lab/hollow/attempt.go
+++ b/internal/lab/hollow/attempt.go
@@ -197,16 +197,16 @@
 		return
 	}
 	a.arrivedAt = m.now
-	m.lastWorkID++
-	work := a.work(m.lastWorkID)
+	m.lastModelRequestID++
+	modelRequest := a.modelRequest(m.lastModelRequestID)
 	outcome := model.Rejected
 	if c.model != nil {
-		outcome = sv.model.Arrive(m.now, c.model, work)
+		outcome = sv.model.Arrive(m.now, c.model, modelRequest)
 		m.checkWarmupLoad(sv, a.node)
 	}
 	switch outcome {
 	case model.Accepted:
-		sv.inFlight[work.ID] = a
+		sv.inFlight[modelRequest.ID] = a
 	case model.NoResponse:
 		m.currentSecond().sendsToUnavailable++
 	case model.Rejected:
@@ -218,16 +218,16 @@
 	m.wakeServer(sv)
 }
 
-// work returns the attempt's request in the form that the server's model takes.
-func (a *attempt) work(id uint64) model.Work {
+// modelRequest returns the attempt's request in the form that the server's model takes.
+func (a *attempt) modelRequest(id uint64) model.Request {
 	r := a.request
-	work := model.Work{ID: id, Cost: r.client.arrival.Work}
+	modelRequest := model.Request{ID: id, Cost: r.client.arrival.Work}
 	if r.class.Idempotency == scenario.IdempotentByKey {
-		work.Key = r.client.key
-		work.Scope = r.class.scope
-		work.Window = r.class.KeyWindow.Std()
+		modelRequest.Key = r.client.key
+		modelRequest.Scope = r.class.scope
+		modelRequest.Window = r.class.KeyWindow.Std()
 	}
-	return work
+	return modelRequest
 }
 
 // deliverReply sends a server's response to the node, where it arrives after the network delay.
--- a/internal/lab/hollow/events.go
+++ b/internal/lab/hollow/events.go
@@ -26,7 +26,7 @@
 		return
 	}
 	switch e.Action {
-	case scenario.Cut:
+	case scenario.PartitionNetwork:
 		m.schedulePartition(e, begin, end)
 	case scenario.KillNodes:
 		m.schedule(begin, func() { m.nodes[step.Index].kill() })
@@ -38,7 +38,7 @@
 		m.scheduleOutage(begin, end, m.registry.SetRefusing)
 	case scenario.DiscoverySilent:
 		m.scheduleOutage(begin, end, m.registry.SetSilent)
-	case scenario.WatchesBreak:
+	case scenario.ResetWatches:
 		m.schedule(begin, func() {
 			m.registry.ResetWatches(m.now)
 			m.wakeRegistry()
@@ -66,7 +66,7 @@
 	case scenario.FailServers:
 		return func(sv *server) { sv.model.SetFailureRate(m.now, 1) },
 			func(sv *server) { sv.model.SetFailureRate(m.now, -1) }
-	case scenario.LoseServers:
+	case scenario.DisconnectServers:
 		return m.disconnectServer, m.startServer
 	}
 	return nil, nil
@@ -124,8 +124,8 @@
 	})
 }
 
-// schedulePartition schedules the network partition of a Cut event: the zones that it includes reach only each
-// other.
+// schedulePartition schedules the network partition of a PartitionNetwork event: the zones that it includes reach
+// only each other.
 func (m *sim) schedulePartition(e scenario.Event, begin, end time.Duration) {
 	inside := make([]bool, len(m.scenario.Zones))
 	for i, z := range m.scenario.Zones {
--- a/internal/lab/hollow/poll.go
+++ b/internal/lab/hollow/poll.go
@@ -35,13 +35,13 @@
 	n.observe(l.Version)
 }
 
-// observe records that the node has now applied all versions up to the given one. Versions published before the
-// node's start do not count as notifications.
+// observe records that the node has now applied all versions up to the given one. The propagation delays do not
+// include versions published before the node's start.
 func (n *hollowNode) observe(version uint64) {
 	m := n.sim
 	for v := n.version + 1; v <= version; v++ {
 		if madeAt := m.versionTimes[v]; madeAt > n.startedAt && m.isMeasured(madeAt) {
-			m.notificationTimes.Add(m.now - madeAt)
+			m.propagationDelays.Add(m.now - madeAt)
 		}
 	}
 	if version > n.version {
--- a/internal/lab/hollow/server.go
+++ b/internal/lab/hollow/server.go
@@ -17,7 +17,7 @@
 	zone     int
 	model    *model.Server
 	wakeAt   time.Duration       // when the model is advanced next; discovery.Never: not scheduled
-	inFlight map[uint64]*attempt // attempts whose request the model has accepted, by model.Work.ID
+	inFlight map[uint64]*attempt // attempts whose request the model has accepted, by model.Request.ID
 
 	entry           model.Entry
 	startedAt       time.Duration // process start that the list contains
--- a/internal/lab/hollow/sim.go
+++ b/internal/lab/hollow/sim.go
@@ -61,12 +61,12 @@
 	decodedList    discovery.List
 
 	// Nodes and clients
-	nodes        []*hollowNode
-	classes      []class
-	tenants      []string
-	openClients  int    // clients whose request has no final outcome yet
-	lastWorkID   uint64 // last model.Work.ID given to a request at a server
-	stopArrivals func() // stops the iterator of arrivals
+	nodes              []*hollowNode
+	classes            []class
+	tenants            []string
+	openClients        int    // clients whose request has no final outcome yet
+	lastModelRequestID uint64 // last model.Request.ID given to a request at a server
+	stopArrivals       func() // stops the iterator of arrivals
 
 	measurement
 }
@@ -217,7 +217,7 @@
 
 // newNode creates node i from the scenario's configuration for the given incarnation.
 func (m *sim) newNode(i, incarnation int, known []byte) (*hollowNode, error) {
-	raw, err := m.scenario.NodeConfig(i, scenario.NodeStart{
+	raw, err := m.scenario.NodeConfig(i, scenario.NodeStartParams{
 		Incarnation: incarnation,
 		Listen:      "127.0.0.1:1", // nothing listens on this address or on the next one
 		Discovery:   "127.0.0.1:2",
@@ -264,7 +264,7 @@
 	r.Windows = m.windows
 	r.Events = append(r.Events, m.eventLog...)
 	m.reportPeaks()
-	m.reportControl()
+	m.reportListTraffic()
 	if m.violations > maxViolations {
 		r.Violations = append(r.Violations, fmt.Sprintf("and %d more", m.violations-maxViolations))
 	}
--- a/internal/lab/load/conns.go
+++ b/internal/lab/load/conns.go
@@ -58,7 +58,7 @@
 	if waiter == nil {
 		return g.dial(ctx, pool, address)
 	}
-	g.countWaited()
+	g.countConnectionWait()
 	select {
 	case c := <-waiter:
 		if c != nil && c.usable(address) {
@@ -100,10 +100,10 @@
 	return nil, nil
 }
 
-func (g *generator) countWaited() {
+func (g *generator) countConnectionWait() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.report.Waited++
+	g.report.ConnectionWaits++
 }
 
 // dial opens a connection that is already counted as open. If it fails, it takes
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -35,8 +35,8 @@
 	return outcomeNames[o]
 }
 
-// Work describes one request that reaches a server.
-type Work struct {
+// Request describes one request that reaches a server.
+type Request struct {
 	ID     uint64        // chosen by the caller and repeated in the Reply; unique among requests under way at a server
 	Cost   time.Duration // processor time on a core of speed 1
 	Key    string        // idempotency key, "" if none
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -41,12 +41,12 @@
 
 // ServerStats counts what a server did since it was created.
 type ServerStats struct {
-	Served   int // Repeats included
-	Failed   int
-	Rejected int
-	Broken   int // accepted and lost when the process ended, sent on a closed connection, or the cause of a crash
-	Repeats  int // requests with a known key, served without another execution
-	Dropped  int // requests whose client closed the connection before their execution began
+	Served       int // Repeats included
+	Failed       int
+	Rejected     int
+	LostRequests int // accepted and lost when the process ended, sent on a closed connection, or the cause of a crash
+	Repeats      int // requests with a known key, served without another execution
+	Dropped      int // requests whose client closed the connection before their execution began
 
 	Work   time.Duration // executed, in processor time on a core of speed 1; handshakes included
 	Wasted time.Duration // part of Work in executions that failed, were cut short, or were abandoned by the client
@@ -73,9 +73,9 @@
 type state int
 
 const (
-	up   state = iota
-	down       // the process has ended: the machine resets and refuses connections
-	lost       // the machine is off the network and sends nothing
+	up           state = iota
+	down               // the process has ended: the machine resets and refuses connections
+	disconnected       // the machine is off the network and sends nothing
 )
 
 // Server is the model of a machine with a number of cores and one queue in front
@@ -142,8 +142,8 @@
 // Up reports whether the process exists; it may be hung.
 func (s *Server) Up() bool { return s.state == up }
 
-// Lost reports whether the machine is off the network.
-func (s *Server) Lost() bool { return s.state == lost }
+// Disconnected reports whether the machine is off the network.
+func (s *Server) Disconnected() bool { return s.state == disconnected }
 
 // Started returns the time of the last start of the process, and whether there
 // was one.
--- a/internal/lab/model/serverconn.go
+++ b/internal/lab/model/serverconn.go
@@ -37,7 +37,7 @@
 	switch s.state {
 	case down:
 		return nil, 0, ConnectionRefused
-	case lost:
+	case disconnected:
 		return nil, 0, NoResponse
 	}
 	if s.cfg.MaxConnections > 0 && s.stats.Connections >= s.cfg.MaxConnections {
@@ -61,7 +61,7 @@
 		return 0
 	}
 	s.stats.Handshakes++
-	s.queue = append(s.queue, &job{Work: Work{Cost: s.cfg.Handshake}, handshake: true})
+	s.queue = append(s.queue, &job{Request: Request{Cost: s.cfg.Handshake}, handshake: true})
 	s.startJobs()
 	delay := s.cfg.Handshake.Seconds() * s.slowdown / s.cfg.Speed / max(s.Capacity(s.now), s.cfg.InitialCapacity, minHandshakeCapacity)
 	return ceilNanoseconds(delay)
--- a/internal/lab/model/serverfaults.go
+++ b/internal/lab/model/serverfaults.go
@@ -20,7 +20,7 @@
 
 // Disconnect takes the machine off the network. Its requests end without a reply,
 // and to clients its connections stay open and silent.
-func (s *Server) Disconnect(now time.Duration) { s.stop(now, lost) }
+func (s *Server) Disconnect(now time.Duration) { s.stop(now, disconnected) }
 
 // stop ends the process, if there is one, and sets a state other than up.
 func (s *Server) stop(now time.Duration, to state) {
@@ -107,7 +107,7 @@
 		if j.handshake || j.abandoned {
 			continue
 		}
-		s.stats.Broken++
+		s.stats.LostRequests++
 		if to == down {
 			s.replies = append(s.replies, Reply{ID: j.ID, Outcome: ConnectionReset, At: s.now})
 		}
--- a/internal/lab/model/serverjobs.go
+++ b/internal/lab/model/serverjobs.go
@@ -4,7 +4,7 @@
 
 // job is a request or a handshake that a server has accepted.
 type job struct {
-	Work
+	Request
 	conn          *Conn // nil: the connection is not modelled
 	handshake     bool
 	abandoned     bool // ended already: the client closed the connection, or the request was rejected while queued
@@ -25,19 +25,19 @@
 //   - NoResponse: the machine is off the network.
 //
 // A nil c stands for a connection that the caller does not model.
-func (s *Server) Arrive(now time.Duration, c *Conn, w Work) Outcome {
+func (s *Server) Arrive(now time.Duration, c *Conn, r Request) Outcome {
 	s.advanceTo(now)
 	switch {
-	case s.state == lost:
+	case s.state == disconnected:
 		return NoResponse
 	case c != nil && c.broken():
-		s.stats.Broken++
+		s.stats.LostRequests++
 		return ConnectionReset
 	case s.state == down:
 		return ConnectionRefused
 	}
-	if s.recordWarmupLoad(w.Cost) {
-		s.stats.Broken++
+	if s.recordWarmupLoad(r.Cost) {
+		s.stats.LostRequests++
 		return ConnectionReset
 	}
 	if s.full() {
@@ -48,7 +48,7 @@
 		}
 		return Rejected
 	}
-	j := &job{Work: w, conn: c}
+	j := &job{Request: r, conn: c}
 	if c != nil {
 		c.job = j
 		s.markBusy(c)
--- a/internal/lab/result/table.go
+++ b/internal/lab/result/table.go
@@ -28,7 +28,7 @@
 
 func (r *Run) writeSummary(w io.Writer) {
 	q := r.Requests
-	c := r.Control
+	traffic := r.ListTraffic
 	perRequest := func(n int) float64 { return ratio(float64(n), float64(q.Offered)) }
 	perAttempt := func(n int) float64 { return ratio(float64(n), float64(q.Attempts)) }
 	fmt.Fprintf(w, "%s\t%s, version %s, seed %d\n", r.Scenario, r.Kind, r.Version, r.Seed)
@@ -43,7 +43,7 @@
 			perRequest(q.WithinQuota), ratio(float64(q.WithinQuotaServed), float64(q.WithinQuota)))
 	}
 	fmt.Fprintf(w, "lists\t%d calls, %.0f bytes/s a node, worst %.0f, worst second %d bytes in all; %d whole, %d changes\n",
-		c.Calls, c.NodeRate, c.WorstRate, c.WorstSecond, c.Snapshots, c.Changes)
+		traffic.Calls, traffic.NodeRate, traffic.WorstRate, traffic.WorstSecond, traffic.Snapshots, traffic.Changes)
 	fmt.Fprintf(w, "recovery\t%.0f s; %d cold servers fell over\n", r.Recovery, r.Crashes)
 	fmt.Fprintf(w, "cost\t%.1f s, a node %.4f of a core and %.1f MB, %.1f µs an event\n",
 		r.Cost.Seconds, r.Cost.NodeCPU, float64(r.Cost.NodeMemory)/1e6, r.Cost.EventTime*1e6)
@@ -54,8 +54,8 @@
 	for _, name := range slices.Sorted(maps.Keys(r.Latency)) {
 		writeLatency(w, name, r.Latency[name])
 	}
-	writeLatency(w, "added by nodes", r.Added)
-	writeLatency(w, "told of changes", r.Control.Notification)
+	writeLatency(w, "added by nodes", r.AddedLatency)
+	writeLatency(w, "told of changes", r.ListTraffic.PropagationDelay)
 }
 
 func writeLatency(w io.Writer, name string, l Latency) {
--- a/internal/lab/scaling/added.go
+++ b/internal/lab/scaling/added.go
@@ -34,9 +34,9 @@
 		if err != nil {
 			return nil, err
 		}
-		p50.add(rate, r.Added.P50*1e3)
-		p99.add(rate, r.Added.P99*1e3)
-		p999.add(rate, r.Added.P999*1e3)
+		p50.add(rate, r.AddedLatency.P50*1e3)
+		p99.add(rate, r.AddedLatency.P99*1e3)
+		p999.add(rate, r.AddedLatency.P999*1e3)
 		cpu.add(rate, 100*r.Cost.NodeCPU)
 	}
 	return []Figure{p50, p99, p999, cpu}, nil
@@ -60,6 +60,6 @@
 	for _, v := range r.Violations {
 		e.violation("added, %v/s: %s", rate, v)
 	}
-	e.log("  %v/s: %+v, %.1f %% of a core", rate, r.Added, 100*r.Cost.NodeCPU)
+	e.log("  %v/s: %+v, %.1f %% of a core", rate, r.AddedLatency, 100*r.Cost.NodeCPU)
 	return r, nil
 }
--- a/internal/lab/scaling/lists.go
+++ b/internal/lab/scaling/lists.go
@@ -81,7 +81,7 @@
 		if err != nil {
 			return nil, err
 		}
-		f.add(float64(nodes)*float64(r.Control.Changes)/r.Seconds, float64(r.Control.Bytes)/r.Seconds/1e3)
+		f.add(float64(nodes)*float64(r.ListTraffic.Changes)/r.Seconds, float64(r.ListTraffic.Bytes)/r.Seconds/1e3)
 	}
 	return []Figure{f}, nil
 }
--- a/internal/lab/scaling/planned.go
+++ b/internal/lab/scaling/planned.go
@@ -82,7 +82,7 @@
 func configOf(servers, tenants int) ([]byte, error) {
 	s := plannedScenario(nodesFor(servers), servers)
 	s.Traffic.Tenants = tenants
-	return s.NodeConfig(0, scenario.NodeStart{
+	return s.NodeConfig(0, scenario.NodeStartParams{
 		Listen:    "127.0.0.1:1",
 		Discovery: "127.0.0.1:2",
 		KnownList: model.EncodeSnapshot(1, entriesOf(s)),
--- a/internal/lab/scaling/runningnode.go
+++ b/internal/lab/scaling/runningnode.go
@@ -96,7 +96,7 @@
 	name := fmt.Sprintf("s%d", nodesStarted.Add(1))
 	n.configPath = filepath.Join(e.Dir, name+".json")
 	n.config = func(discovery string) ([]byte, error) {
-		return s.NodeConfig(0, scenario.NodeStart{
+		return s.NodeConfig(0, scenario.NodeStartParams{
 			Listen:    addresses[0],
 			Discovery: discovery,
 			KnownList: model.EncodeSnapshot(1, n.entries),
--- a/internal/lab/scenario/nodeconfig.go
+++ b/internal/lab/scenario/nodeconfig.go
@@ -16,9 +16,9 @@
 	overQuotaWeight  = 0.1                     // fraction of its weight that a request over quota has
 )
 
-// NodeStart holds the parts of a node's configuration that do not come from the
-// scenario.
-type NodeStart struct {
+// NodeStartParams holds the parts of a node's configuration that do not come from
+// the scenario.
+type NodeStartParams struct {
 	Incarnation int             // number of earlier starts of the node
 	Listen      string          // address for clients
 	Discovery   string          // address of discovery
@@ -130,7 +130,7 @@
 
 // NodeConfig returns the JSON configuration file that node i gets at a start. The
 // node's seed depends on the scenario's seed, i and start.Incarnation.
-func (s *Scenario) NodeConfig(i int, start NodeStart) ([]byte, error) {
+func (s *Scenario) NodeConfig(i int, start NodeStartParams) ([]byte, error) {
 	known := start.KnownList
 	if known == nil {
 		known = json.RawMessage(`{"index":0,"snapshot":true,"endpoints":[]}`)
