--- a/internal/lab/emulator/conn.go
+++ b/internal/lab/emulator/conn.go
@@ -25,8 +25,8 @@
 // requestStarted returns when the first byte of the current request arrived.
 func (c *conn) requestStarted() time.Time { return time.Unix(0, c.requestStart.Load()) }
 
-// reset closes the connection with a TCP reset. net/http is not told: its next
-// read or write fails.
+// reset closes the connection with a TCP reset. net/http notices only when its
+// next read or write fails.
 func (c *conn) reset() {
 	c.SetLinger(0)
 	c.TCPConn.Close()
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -190,7 +190,7 @@
 // traffic, new ones are never established.
 func (s *Server) Disconnect() { s.withModel(s.model.Disconnect) }
 
-// SetHung suspends the process or lets it continue; see [model.Server.SetHung].
+// SetHung pauses the process or lets it continue; see [model.Server.SetHung].
 func (s *Server) SetHung(on bool) {
 	s.withModel(func(now time.Duration) { s.model.SetHung(now, on) })
 }
--- a/internal/lab/fleet/events.go
+++ b/internal/lab/fleet/events.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// kill kills a process, in the form that restartNode requires.
+// kill is a stop function for restartNode that kills the process.
 func kill(p *Process) error {
 	p.Kill()
 	return nil
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -2,11 +2,11 @@
 // started as the platform starts it, with servers and discovery that this
 // process emulates, all on loopback. Package load sends the clients' requests.
 //
-// The network is not emulated: delays, late dials and partitions need a hollow
-// run, and scenarios with a PartitionNetwork event are rejected. Attempts are
-// counted as copies that reached a server, so connections that were never
-// established are not counted. The run cannot observe when a node learns of a list
-// change.
+// The network is not emulated: delays, connections that are established late and
+// partitions need a hollow run, and scenarios with a PartitionNetwork event are
+// rejected. Attempts are counted as copies that reached a server, so an attempt
+// whose connection was never established is not counted. The run cannot observe
+// when a node learns of a list change.
 package fleet
 
 import (
@@ -215,7 +215,7 @@
 	return x.finish(report, stream), nil
 }
 
-// maxSendDelay is the load generator's largest acceptable send delay.
+// maxSendDelay returns the load generator's largest acceptable send delay.
 func (m *run) maxSendDelay() time.Duration {
 	tightest := m.scenario.Classes[0].LatencyObjective
 	for _, c := range m.scenario.Classes {
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -98,7 +98,7 @@
 	return s
 }
 
-// sumBytes is the list traffic of all nodes, in both directions.
+// sumBytes returns the list traffic of all nodes, in both directions.
 func sumBytes(lists []emulator.RegistryStats) int64 {
 	sum := int64(0)
 	for _, l := range lists {
@@ -108,7 +108,8 @@
 }
 
 // sample takes a snapshot at the end of the warm-up and one at the end of the
-// traffic. In between it reads the list traffic every second.
+// traffic. In between it reads the list traffic every second. It also starts
+// publishRestarts.
 func (x *measurement) sample() {
 	m := x.run
 	warmup := m.scenario.Warmup.Std()
--- a/internal/lab/fleet/nodes.go
+++ b/internal/lab/fleet/nodes.go
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// maxProcs is the GOMAXPROCS of a node: its cores, which may be a fraction,
+// maxProcs returns the GOMAXPROCS of a node: its cores, which may be a fraction,
 // rounded up, as on the platform, where a node sees a machine of its own.
 func (m *run) maxProcs() int { return max(1, int(math.Ceil(m.scenario.Fleet.Cores))) }
 
--- a/internal/lab/fleet/servers.go
+++ b/internal/lab/fleet/servers.go
@@ -119,8 +119,8 @@
 }
 
 // publishRestarts publishes the servers that have restarted by themselves, and
-// repeats this every restartCheckInterval until a time after the start of the
-// traffic.
+// repeats this every restartCheckInterval up to the time until, which counts from
+// the start of the traffic.
 func (m *run) publishRestarts(until time.Duration) {
 	m.mu.Lock()
 	servers := append([]*server(nil), m.servers...)
--- a/internal/lab/load/conns.go
+++ b/internal/lab/load/conns.go
@@ -75,8 +75,8 @@
 }
 
 // takeOrReserve returns an idle connection. If there is none or fresh is set, it
-// counts a new connection as open, which the caller must dial, and returns nil
-// twice. At the limit it returns a channel instead, which delivers a connection,
+// counts a new connection as open, which the caller must dial, and returns nil,
+// nil. At the limit it returns a channel instead, which delivers a connection,
 // or nil for one that is counted as open and must be dialled.
 func (p *connPool) takeOrReserve(address string, fresh bool, limit int) (*conn, chan *conn) {
 	p.mu.Lock()
@@ -106,8 +106,8 @@
 	g.report.ConnectionWaits++
 }
 
-// dial opens a connection that is already counted as open. If it fails, it takes
-// the connection off the count with put.
+// dial opens a connection that is already counted as open. If it fails, it calls
+// put(nil), which lets the first waiter dial instead or reduces the count.
 func (g *generator) dial(ctx context.Context, pool *connPool, address string) (*conn, error) {
 	nc, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/internal/lab/load/pace.go
+++ b/internal/lab/load/pace.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// nanosleepWindow is how long before the next send the wait goes over from
+	// nanosleepWindow is how long before the next send the wait switches from
 	// a Go timer, which may be a millisecond late, to nanosleep(2), which is
 	// late by about 60 µs.
 	nanosleepWindow = 2 * time.Millisecond
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// ratio is a/b, or 0 if b is 0.
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
--- a/internal/lab/scaling/idle.go
+++ b/internal/lab/scaling/idle.go
@@ -29,7 +29,7 @@
 }
 
 // maxOverrun is the accepted ratio of the actual to the intended measuring time.
-// When the lab is delayed more than that, the nodes are delayed too.
+// A higher ratio means that the lab was paused, and then the nodes were paused too.
 const maxOverrun = 1.05
 
 // measureIdle starts a node, waits for the settle time, and measures the node
--- a/internal/lab/scaling/lists.go
+++ b/internal/lab/scaling/lists.go
@@ -11,8 +11,8 @@
 )
 
 // wholeList measures the size of a whole list, its part of a node's traffic
-// budget and the time to apply it, by servers; and the traffic of one whole list
-// for every node, by nodes.
+// budget and the time to apply it, by servers; and the traffic when every node
+// fetches one whole list, by nodes.
 func wholeList(ctx context.Context, e *Env) ([]Figure, error) {
 	figure := func(name, unit, mechanism, note string) Figure {
 		return Figure{Name: name, Unit: unit, Over: "servers", Planned: plannedServers, Mechanism: mechanism, Note: note}
